--- a/bench/micro/recoverybench.cpp
+++ b/bench/micro/recoverybench.cpp
@@ -26,7 +26,7 @@
   Item.Spec_.Payload_ = std::string(PayloadBytes, 'x');
   Item.Spec_.Steps_.resize(1);
   Item.Spec_.Steps_[0].Count_ = TasksPerJob;
-  Item.Spec_.Steps_[0].Each_ = {1000, 256, 0};
+  Item.Spec_.Steps_[0].PerTask_ = {1000, 256, 0};
   return Item;
 }
 
@@ -34,7 +34,7 @@
   jobs::RunIntended Item;
   Item.Run_ = {{jobs::JobId("job-" + std::to_string(Number)), 0, 0, Task},
                jobs::RunNumber(1)};
-  Item.On_ = {jobs::WorkerId("i-" + std::to_string(Number % 11'000)), 1};
+  Item.Worker_ = {jobs::WorkerId("i-" + std::to_string(Number % 11'000)), 1};
   return Item;
 }
 
--- a/src/app/internal/cellapp.cpp
+++ b/src/app/internal/cellapp.cpp
@@ -38,8 +38,8 @@
                               framework::clock::SystemClock().now()))};
 }
 
-journal::Holder holderOf(const membership::MemberId &Self) {
-  journal::Holder Result;
+journal::Leader holderOf(const membership::MemberId &Self) {
+  journal::Leader Result;
   Result.Entry_ = Self.Name_;
   Result.Incarnation_ = Self.Incarnation_;
   return Result;
@@ -75,11 +75,11 @@
              },
              [this] { return Cell_.leads(); },
              [this] { return Cell_.holder(); },
-             [this](const journal::Holder &Seen) {
+             [this](const journal::Leader &Seen) {
                return Seen.Entry_ == Self_.Name_ &&
                       Seen.Incarnation_ == Self_.Incarnation_;
              },
-             [this](const journal::Holder &To, const peers::JobCall &Call) {
+             [this](const journal::Leader &To, const peers::JobCall &Call) {
                Mesh_.send({To.Entry_, To.Incarnation_}, To.PeerAddress_, Call);
              }}),
         Intake_(Router_, platform::readJob, Metrics_),
--- a/src/capacity/internal/poolplanner.cpp
+++ b/src/capacity/internal/poolplanner.cpp
@@ -8,88 +8,93 @@
 
 namespace {
 
-struct PoolRow {
-  std::size_t Have_ = 0;
-  std::size_t Need_ = 0;
-  Resources RoomEach_;
-  std::vector<const MachineView *> Idle_;
-
-  std::size_t deficit() const { return Need_ > Have_ ? Need_ - Have_ : 0; }
+struct PoolState {
+  std::size_t Available_ = 0;
+  std::size_t Required_ = 0;
+  Resources MachineCapacity_;
+  std::vector<const MachineView *> IdleMachines_;
+
+  std::size_t deficit() const {
+    return Required_ > Available_ ? Required_ - Available_ : 0;
+  }
   std::size_t surplus(std::size_t Keep) const {
-    return Have_ > Need_ + Keep ? Have_ - Need_ - Keep : 0;
+    return Available_ > Required_ + Keep ? Available_ - Required_ - Keep : 0;
   }
 };
 
 /// How many machines hold \p Wanted when each holds \p Each.
-std::size_t machinesToHold(std::int64_t Wanted, std::int64_t Each) {
+std::size_t machinesToFit(std::int64_t Wanted, std::int64_t Each) {
   if (Each <= 0)
     return 0;
   return static_cast<std::size_t>(
       std::ceil(static_cast<double>(Wanted) /
-                (PoolPlanner::Fill * static_cast<double>(Each))));
+                (PoolPlanner::FillFraction * static_cast<double>(Each))));
 }
 
-std::int64_t riseUntilAMachineComes(const PoolDemand &Demand) {
+std::int64_t expectedGrowth(const PoolDemand &Demand) {
   return static_cast<std::int64_t>(
-      PoolPlanner::RiseAhead *
-      static_cast<double>(Demand.Coming_.riseSince(Demand.CameBefore_)));
+      PoolPlanner::GrowthMultiplier *
+      static_cast<double>(Demand.RecentArrivals_.lowerEstimateOfIncrease(
+          Demand.PriorArrivals_)));
 }
 
-std::size_t machinesFor(const PoolDemand &Demand, const Resources &Each) {
-  Resources Wanted = Demand.Standing_ + Demand.Timely_;
-  Wanted.MilliCpus_ = std::max(Wanted.MilliCpus_, Demand.Standing_.MilliCpus_ +
-                                                      Demand.Coming_.likely()) +
-                      riseUntilAMachineComes(Demand);
-  return std::max({machinesToHold(Wanted.MilliCpus_, Each.MilliCpus_),
-                   machinesToHold(Wanted.MemoryMb_, Each.MemoryMb_),
-                   machinesToHold(Wanted.Accelerators_, Each.Accelerators_)});
+std::size_t machinesRequired(const PoolDemand &Demand, const Resources &Each) {
+  Resources Wanted = Demand.LongRunning_ + Demand.FeasibleFinite_;
+  Wanted.MilliCpus_ =
+      std::max(Wanted.MilliCpus_, Demand.LongRunning_.MilliCpus_ +
+                                      Demand.RecentArrivals_.lowerEstimate()) +
+      expectedGrowth(Demand);
+  return std::max({machinesToFit(Wanted.MilliCpus_, Each.MilliCpus_),
+                   machinesToFit(Wanted.MemoryMb_, Each.MemoryMb_),
+                   machinesToFit(Wanted.Accelerators_, Each.Accelerators_)});
 }
 
 /// One pass: the pools as they are, and the orders that follow.
-class Pass {
+class PlanningPass {
 public:
-  Pass(const std::map<MachineId, MachineView> &Machines,
-       const std::map<MachineId, PoolName> &Homes,
-       const std::set<PoolName> &Standby, TimePoint Now)
+  PlanningPass(const std::map<MachineId, MachineView> &Machines,
+               const std::map<MachineId, PoolName> &Homes,
+               const std::set<PoolName> &Standby, TimePoint Now)
       : Machines_(Machines), Homes_(Homes), Standby_(Standby), Now_(Now) {
     for (const auto &[Id, Machine] : Machines)
       add(Machine);
   }
 
-  void ask(const PoolName &Pool, const PoolDemand &Wanted) {
+  void setDemand(const PoolName &Pool, const PoolDemand &Wanted) {
     if (Standby_.contains(Pool))
       return;
-    PoolRow &Row = Pools_[Pool];
-    if (Row.RoomEach_ == Resources())
-      Row.RoomEach_ = AnyRoom_;
-    Row.Need_ = machinesFor(Wanted, Row.RoomEach_);
-    if (waitsInVain(Pool, Row, Wanted.WaitingStanding_))
-      Row.Need_ = std::max(Row.Need_, Row.Have_ + 1);
+    PoolState &Row = Pools_[Pool];
+    if (Row.MachineCapacity_ == Resources())
+      Row.MachineCapacity_ = LargestCapacity_;
+    Row.Required_ = machinesRequired(Wanted, Row.MachineCapacity_);
+    if (needsExtraMachine(Pool, Row, Wanted.WaitingLongRunning_))
+      Row.Required_ = std::max(Row.Required_, Row.Available_ + 1);
   }
 
   /// The pools with the largest lack come first.
-  void fillLacks() {
-    std::vector<std::pair<std::size_t, PoolName>> Lacking;
+  void coverShortages() {
+    std::vector<std::pair<std::size_t, PoolName>> Shortages;
     for (const auto &[Pool, Row] : Pools_)
       if (Row.deficit() > 0)
-        Lacking.emplace_back(Row.deficit(), Pool);
-    std::sort(Lacking.rbegin(), Lacking.rend());
-    for (const auto &[Lack, To] : Lacking)
-      fill(To, Lack);
+        Shortages.emplace_back(Row.deficit(), Pool);
+    std::sort(Shortages.rbegin(), Shortages.rend());
+    for (const auto &[Missing, To] : Shortages)
+      coverShortage(To, Missing);
   }
 
   /// What came for a peak goes home after it: to be switched off, or so that
   /// its own pool is ready for its next one.
-  void sendHome() {
+  void returnIdleMachines() {
     for (const auto &[Pool, Row] : Pools_) {
-      std::size_t Extra = Row.surplus(PoolPlanner::Spare);
-      for (const MachineView *Machine : Row.Idle_) {
+      std::size_t Extra = Row.surplus(PoolPlanner::SpareMachines);
+      for (const MachineView *Machine : Row.IdleMachines_) {
         if (Extra == 0)
           break;
-        if (Taken_.contains(Machine->Record_.Id_) || homeOf(*Machine) == Pool ||
-            Now_ - Machine->IdleSince_ < PoolPlanner::HomeAfter)
+        if (Ordered_.contains(Machine->Record_.Id_) ||
+            homeOf(*Machine) == Pool ||
+            Now_ - Machine->IdleSince_ < PoolPlanner::MinIdleBeforeReturn)
           continue;
-        give(*Machine, homeOf(*Machine), MoveReason::Home);
+        addOrder(*Machine, homeOf(*Machine), MoveReason::Home);
         --Extra;
       }
     }
@@ -101,61 +106,63 @@
   /// A machine that may be given to another pool; the lowest goes first.
   struct Donor {
     /// Away from home, then off, then at home.
-    int Class_ = 0;
-    std::int64_t Rank_ = 0;
+    int Tier_ = 0;
+    std::int64_t RankInTier_ = 0;
     const MachineView *Machine_ = nullptr;
   };
 
   void add(const MachineView &Machine) {
     const PoolName &Pool = Machine.Record_.Pool_;
-    const bool Free =
-        !Machine.Busy_ && !Machine.HeldBack_ && Now_ >= Machine.NoOrderBefore_;
+    const bool Free = !Machine.InTransition_ && !Machine.Cordoned_ &&
+                      Now_ >= Machine.NoOrderBefore_;
     if (Standby_.contains(Pool)) {
       if (Free && Machine.Record_.State_ == MachineState::Up)
-        Off_.push_back(&Machine);
+        StandbyMachines_.push_back(&Machine);
       return;
     }
-    PoolRow &Row = Pools_[Pool];
-    Row.RoomEach_ = std::max(Row.RoomEach_, Machine.Record_.Room_);
-    AnyRoom_ = std::max(AnyRoom_, Row.RoomEach_);
-    if (Machine.HeldBack_)
+    PoolState &Row = Pools_[Pool];
+    Row.MachineCapacity_ =
+        std::max(Row.MachineCapacity_, Machine.Record_.Capacity_);
+    LargestCapacity_ = std::max(LargestCapacity_, Row.MachineCapacity_);
+    if (Machine.Cordoned_)
       return;
-    ++Row.Have_;
+    ++Row.Available_;
     if (Free && Machine.Usable_ && Machine.idle() &&
-        Now_ - Machine.IdleSince_ >= PoolPlanner::SettleTime)
-      Row.Idle_.push_back(&Machine);
+        Now_ - Machine.IdleSince_ >= PoolPlanner::MinIdleTime)
+      Row.IdleMachines_.push_back(&Machine);
   }
 
   /// Whether a task that lasts waits though the pool has all that it asks for:
   /// no machine has room for it in one piece, and none is coming.
-  bool waitsInVain(const PoolName &Pool, const PoolRow &Row,
-                   const Resources &Waiting) const {
-    if (Waiting == Resources() || !Waiting.fitsInto(Row.RoomEach_))
+  bool needsExtraMachine(const PoolName &Pool, const PoolState &Row,
+                         const Resources &Waiting) const {
+    if (Waiting == Resources() || !Waiting.fitsInto(Row.MachineCapacity_))
       return false;
     return std::none_of(
         Machines_.begin(), Machines_.end(), [&](const auto &Item) {
           const MachineView &Machine = Item.second;
-          if (Machine.Record_.Pool_ != Pool || Machine.HeldBack_)
+          if (Machine.Record_.Pool_ != Pool || Machine.Cordoned_)
             return false;
-          const bool Coming = Machine.Busy_ || Now_ - Machine.IdleSince_ <
-                                                   PoolPlanner::SettleTime;
+          const bool Coming =
+              Machine.InTransition_ ||
+              Now_ - Machine.IdleSince_ < PoolPlanner::MinIdleTime;
           return (Coming && Machine.idle()) ||
                  (Machine.Usable_ && Waiting.fitsInto(Machine.free()));
         });
   }
 
-  void fill(const PoolName &To, std::size_t Lack) {
+  void coverShortage(const PoolName &To, std::size_t Missing) {
     for (const Donor &Item : donorsFor(To)) {
-      if (Lack == 0)
+      if (Missing == 0)
         return;
       const auto From = Pools_.find(Item.Machine_->Record_.Pool_);
       if (From != Pools_.end()) {
-        if (From->second.surplus(PoolPlanner::Spare) == 0)
+        if (From->second.surplus(PoolPlanner::SpareMachines) == 0)
           continue;
-        --From->second.Have_;
+        --From->second.Available_;
       }
-      give(*Item.Machine_, To, MoveReason::Lack);
-      --Lack;
+      addOrder(*Item.Machine_, To, MoveReason::Shortage);
+      --Missing;
     }
   }
 
@@ -164,28 +171,30 @@
     for (const auto &[Pool, Row] : Pools_) {
       if (Pool == To || Row.deficit() > 0)
         continue;
-      for (const MachineView *Machine : Row.Idle_)
-        if (!Taken_.contains(Machine->Record_.Id_))
-          Donors.push_back(
-              {homeOf(*Machine) == Pool ? 2 : 0,
-               -static_cast<std::int64_t>(Row.surplus(PoolPlanner::Spare)),
-               Machine});
+      for (const MachineView *Machine : Row.IdleMachines_)
+        if (!Ordered_.contains(Machine->Record_.Id_))
+          Donors.push_back({homeOf(*Machine) == Pool ? 2 : 0,
+                            -static_cast<std::int64_t>(
+                                Row.surplus(PoolPlanner::SpareMachines)),
+                            Machine});
     }
-    for (const MachineView *Machine : Off_)
-      if (!Taken_.contains(Machine->Record_.Id_))
+    for (const MachineView *Machine : StandbyMachines_)
+      if (!Ordered_.contains(Machine->Record_.Id_))
         Donors.push_back({1, 0, Machine});
     // Stable: equal donors stay in the order of their names, so that the same
     // tables give the same orders.
-    std::stable_sort(
-        Donors.begin(), Donors.end(), [](const Donor &A, const Donor &B) {
-          return std::tie(A.Class_, A.Rank_) < std::tie(B.Class_, B.Rank_);
-        });
+    std::stable_sort(Donors.begin(), Donors.end(),
+                     [](const Donor &A, const Donor &B) {
+                       return std::tie(A.Tier_, A.RankInTier_) <
+                              std::tie(B.Tier_, B.RankInTier_);
+                     });
     return Donors;
   }
 
-  void give(const MachineView &Machine, const PoolName &To, MoveReason Why) {
+  void addOrder(const MachineView &Machine, const PoolName &To,
+                MoveReason Why) {
     Orders_.push_back({Machine.Record_.Id_, To, Why});
-    Taken_.insert(Machine.Record_.Id_);
+    Ordered_.insert(Machine.Record_.Id_);
   }
 
   PoolName homeOf(const MachineView &Machine) const {
@@ -197,17 +206,17 @@
   const std::map<MachineId, PoolName> &Homes_;
   const std::set<PoolName> &Standby_;
   TimePoint Now_;
-  std::map<PoolName, PoolRow> Pools_;
-  std::vector<const MachineView *> Off_;
-  Resources AnyRoom_;
+  std::map<PoolName, PoolState> Pools_;
+  std::vector<const MachineView *> StandbyMachines_;
+  Resources LargestCapacity_;
   std::vector<MoveOrder> Orders_;
-  std::set<MachineId> Taken_;
+  std::set<MachineId> Ordered_;
 };
 
 } // namespace
 
 std::string_view nameOf(MoveReason Reason) {
-  return Reason == MoveReason::Lack ? "lack" : "home";
+  return Reason == MoveReason::Shortage ? "lack" : "home";
 }
 
 std::vector<MoveOrder>
@@ -215,11 +224,11 @@
                   const std::map<PoolName, PoolDemand> &Demand,
                   const std::map<MachineId, PoolName> &Homes,
                   const std::set<PoolName> &Standby, TimePoint Now) const {
-  Pass Planned(Machines, Homes, Standby, Now);
+  PlanningPass Planned(Machines, Homes, Standby, Now);
   for (const auto &[Pool, Wanted] : Demand)
-    Planned.ask(Pool, Wanted);
-  Planned.fillLacks();
-  Planned.sendHome();
+    Planned.setDemand(Pool, Wanted);
+  Planned.coverShortages();
+  Planned.returnIdleMachines();
   return std::move(Planned).orders();
 }
 
--- a/src/capacity/internal/upkeepplanner.cpp
+++ b/src/capacity/internal/upkeepplanner.cpp
@@ -11,51 +11,52 @@
 using Machines = std::map<MachineId, MachineView>;
 
 bool isDown(const MachineView &Machine) {
-  return Machine.Busy_ || Machine.Record_.State_ != MachineState::Up;
+  return Machine.InTransition_ || Machine.Record_.State_ != MachineState::Up;
 }
 
 /// What one plan has given out so far.
-struct Budget {
+struct DisruptionBudget {
   std::map<PoolName, std::size_t> Size_;
   /// Machines of the pool that are held back or down.
-  std::map<PoolName, std::size_t> Away_;
+  std::map<PoolName, std::size_t> Unavailable_;
 
   bool allows(const PoolName &Pool) const {
     const auto Size = Size_.find(Pool);
-    const auto Away = Away_.find(Pool);
-    const std::size_t Used = Away == Away_.end() ? 0 : Away->second;
+    const auto Away = Unavailable_.find(Pool);
+    const std::size_t Used = Away == Unavailable_.end() ? 0 : Away->second;
     if (Size == Size_.end() || Used == 0)
       return true;
     return static_cast<double>(Used + 1) <=
-           UpkeepPlanner::MostOfPool * static_cast<double>(Size->second);
+           UpkeepPlanner::MaxPoolShare * static_cast<double>(Size->second);
   }
 };
 
-Budget budgetOf(const Machines &All) {
-  Budget Result;
+DisruptionBudget budgetOf(const Machines &All) {
+  DisruptionBudget Result;
   for (const auto &[Id, Machine] : All) {
     ++Result.Size_[Machine.Record_.Pool_];
-    if (Machine.HeldBack_ || isDown(Machine))
-      ++Result.Away_[Machine.Record_.Pool_];
+    if (Machine.Cordoned_ || isDown(Machine))
+      ++Result.Unavailable_[Machine.Record_.Pool_];
   }
   return Result;
 }
 
 /// Machines of a wave in the order in which they are taken: what is off first,
 /// then what has least to lose.
-std::vector<const MachineView *> ordered(const WaveRow &Wave,
-                                         const Machines &All,
-                                         const std::set<PoolName> &Standby) {
+std::vector<const MachineView *> drainOrder(const WaveRow &Wave,
+                                            const Machines &All,
+                                            const std::set<PoolName> &Standby) {
   std::vector<const MachineView *> Left;
   for (const MachineId &Id : Wave.Record_.Machines_) {
     const auto Found = All.find(Id);
-    if (Found != All.end() && !Wave.Begun_.contains(Id))
+    if (Found != All.end() && !Wave.Started_.contains(Id))
       Left.push_back(&Found->second);
   }
   const auto Rank = [&](const MachineView *Machine) {
     return std::make_tuple(!Standby.contains(Machine->Record_.Pool_),
-                           !Machine->HeldBack_, !Machine->idle(),
-                           Machine->StandingRuns_.size(), Machine->FiniteRuns_);
+                           !Machine->Cordoned_, !Machine->idle(),
+                           Machine->LongRunningRuns_.size(),
+                           Machine->FiniteRuns_);
   };
   std::stable_sort(Left.begin(), Left.end(),
                    [&](const MachineView *A, const MachineView *B) {
@@ -66,7 +67,7 @@
 
 } // namespace
 
-std::uint32_t awayOf(const jobs::StepRow &Step) {
+std::uint32_t unavailableTasks(const jobs::StepRow &Step) {
   std::uint32_t Away = 0;
   for (const jobs::TaskRow &Task : Step.Tasks_) {
     const bool AtWork = std::any_of(
@@ -81,12 +82,12 @@
 namespace {
 
 /// Stops of standing tasks under each step's own budget.
-class Evacuation {
+class EvacuationPlanner {
 public:
-  explicit Evacuation(const jobs::CellTable &Table) : Table_(Table) {}
+  explicit EvacuationPlanner(const jobs::CellTable &Table) : Table_(Table) {}
 
   void add(const MachineView &Machine, std::vector<jobs::RunName> &Into) {
-    for (const jobs::RunName &Run : Machine.StandingRuns_) {
+    for (const jobs::RunName &Run : Machine.LongRunningRuns_) {
       const jobs::JobRow *Job = Table_.find(Run.Task_.Job_);
       const jobs::LiveRun *Live = Table_.find(Run);
       if (!Job || !Live || Live->Stopping_)
@@ -94,11 +95,12 @@
       const StepKey Key{Run.Task_.Job_, Run.Task_.Occurrence_, Run.Task_.Step_};
       const auto &Step =
           Job->Occurrences_[Run.Task_.Occurrence_].Steps_[Run.Task_.Step_];
-      const auto Away = Away_.try_emplace(Key, awayOf(Step)).first;
+      const auto Away =
+          Unavailable_.try_emplace(Key, unavailableTasks(Step)).first;
       const bool AtWork = Live->Confirmed_ && Live->Percent_ >= 100;
       const std::uint32_t Others = Away->second - (AtWork ? 0 : 1);
       const std::uint32_t Most =
-          std::max(1u, Job->Spec_.Steps_[Run.Task_.Step_].MayMiss_);
+          std::max(1u, Job->Spec_.Steps_[Run.Task_.Step_].MaxUnavailable_);
       if (Others >= Most)
         continue;
       if (AtWork)
@@ -111,14 +113,14 @@
   using StepKey = std::tuple<jobs::JobId, std::uint32_t, std::uint32_t>;
 
   const jobs::CellTable &Table_;
-  std::map<StepKey, std::uint32_t> Away_;
+  std::map<StepKey, std::uint32_t> Unavailable_;
 };
 
-bool urgent(const WaveRow &Wave, std::size_t Left, Duration Each,
-            TimePoint Now) {
+bool isUrgent(const WaveRow &Wave, std::size_t Left, Duration Each,
+              TimePoint Now) {
   const std::size_t AtOnce = std::max<std::size_t>(1, Wave.Record_.MaxAllowed_);
   const std::size_t Rounds = (Left + AtOnce - 1) / AtOnce;
-  const Duration TimeLeft = Wave.SeenAt_ + Wave.Record_.Duration_ - Now;
+  const Duration TimeLeft = Wave.FirstSeenAt_ + Wave.Record_.Duration_ - Now;
   return static_cast<double>(TimeLeft.count()) <
          UpkeepPlanner::UrgentFactor * 2 * static_cast<double>(Rounds) *
              static_cast<double>(Each.count());
@@ -131,51 +133,51 @@
                                const std::set<PoolName> &Standby,
                                TimePoint Now) const {
   UpkeepPlan Result;
-  Budget Pools = budgetOf(All);
-  Evacuation Moves(Table_);
+  DisruptionBudget Pools = budgetOf(All);
+  EvacuationPlanner Evacuations(Table_);
   for (const auto &[Number, Wave] : Waves) {
-    if (Wave.ToldDone_)
+    if (Wave.DoneReported_)
       continue;
-    const auto Left = ordered(Wave, All, Standby);
+    const auto Left = drainOrder(Wave, All, Standby);
     std::size_t Down = 0;
     for (const MachineId &Id : Wave.Record_.Machines_) {
       const auto Found = All.find(Id);
       Down += Found != All.end() && isDown(Found->second) &&
-              (Wave.Begun_.contains(Id) || Found->second.Busy_);
+              (Wave.Started_.contains(Id) || Found->second.InTransition_);
     }
     if (Left.empty()) {
       if (Down == 0)
         Result.Done_.push_back(Number);
       continue;
     }
-    const bool Hurry = urgent(Wave, Left.size(), UpkeepTime_, Now);
-    std::size_t Free =
+    const bool Urgent = isUrgent(Wave, Left.size(), UpkeepTime_, Now);
+    std::size_t MayStart =
         Wave.Record_.MaxAllowed_ > Down ? Wave.Record_.MaxAllowed_ - Down : 0;
     // As many more are emptied as may be down, so that the next round begins
     // when this one is back.
-    std::size_t Ahead = Wave.Record_.MaxAllowed_ + Free;
+    std::size_t ToDrain = Wave.Record_.MaxAllowed_ + MayStart;
     for (const MachineView *Machine : Left) {
-      if (Ahead == 0)
+      if (ToDrain == 0)
         break;
       const PoolName &Pool = Machine->Record_.Pool_;
       const bool Off = Standby.contains(Pool);
       if (isDown(*Machine))
         continue;
-      if (!Machine->HeldBack_ && !Off && !Hurry && !Pools.allows(Pool))
+      if (!Machine->Cordoned_ && !Off && !Urgent && !Pools.allows(Pool))
         continue;
-      if (!Machine->HeldBack_)
-        ++Pools.Away_[Pool];
-      --Ahead;
-      Result.HoldBack_.insert(Machine->Record_.Id_);
+      if (!Machine->Cordoned_)
+        ++Pools.Unavailable_[Pool];
+      --ToDrain;
+      Result.Cordon_.insert(Machine->Record_.Id_);
       if (!Machine->idle()) {
-        Moves.add(*Machine, Result.Evacuate_);
+        Evacuations.add(*Machine, Result.Evacuate_);
         continue;
       }
       // A machine is ordered away only after it has been held back for a
       // pass: a start may be on its way to it.
-      if (Free == 0 || (!Machine->HeldBack_ && !Off))
+      if (MayStart == 0 || (!Machine->Cordoned_ && !Off))
         continue;
-      --Free;
+      --MayStart;
       Result.Orders_.push_back({Number, Machine->Record_.Id_});
     }
   }
--- a/src/capacity/tests/poolplannertest.cpp
+++ b/src/capacity/tests/poolplannertest.cpp
@@ -18,7 +18,7 @@
     View.Record_.Id_ = MachineId(Name);
     View.Record_.Pool_ = Pool;
     View.Record_.State_ = MachineState::Up;
-    View.Record_.Room_ = {16000, 32768, 0};
+    View.Record_.Capacity_ = {16000, 32768, 0};
     View.Usable_ = true;
     View.IdleSince_ = Start - IdleFor;
     Homes_.try_emplace(View.Record_.Id_, Pool);
@@ -49,7 +49,7 @@
   add("a", Hot);
   for (const char *Name : {"b", "c", "d"})
     add(Name, Cold);
-  Demand_[Hot].Timely_.MilliCpus_ = 2 * 14000;
+  Demand_[Hot].FeasibleFinite_.MilliCpus_ = 2 * 14000;
   const auto Orders = plan();
   BOOST_REQUIRE(Orders.size() == 1u);
   BOOST_TEST(Orders[0].To_ == Hot);
@@ -61,7 +61,7 @@
   for (const char *Name : {"b", "c", "d", "e"})
     add(Name, Cold);
   add("o", Off);
-  Demand_[Hot].Timely_.MilliCpus_ = 5 * 14000;
+  Demand_[Hot].FeasibleFinite_.MilliCpus_ = 5 * 14000;
   for (const char *Name : {"b", "o"})
     Machines_[MachineId(Name)].NoOrderBefore_ = Start + 1ms;
   const auto Orders = plan();
@@ -71,13 +71,13 @@
 }
 
 BOOST_AUTO_TEST_CASE(OneLargeJobForetellsNothing) {
-  Inflow One;
+  ArrivedLoad One;
   One.add(40000);
-  BOOST_TEST(One.likely() == 0);
-  Inflow Many;
+  BOOST_TEST(One.lowerEstimate() == 0);
+  ArrivedLoad Many;
   for (int I = 0; I < 100; ++I)
     Many.add(400);
-  BOOST_TEST(Many.likely() == 36000);
+  BOOST_TEST(Many.lowerEstimate() == 36000);
 }
 
 // Callers wait at the start of a peak: jobs come ten times as fast as before,
@@ -87,9 +87,9 @@
   add("a", Hot);
   for (const char *Name : {"b", "c", "d", "e", "f"})
     add(Name, Cold);
-  Demand_[Hot].Timely_.MilliCpus_ = 4000;
+  Demand_[Hot].FeasibleFinite_.MilliCpus_ = 4000;
   for (int I = 0; I < 100; ++I)
-    Demand_[Hot].Coming_.add(600);
+    Demand_[Hot].RecentArrivals_.add(600);
   BOOST_TEST(plan().size() == 3u);
 }
 
@@ -99,20 +99,20 @@
   add("a", Hot);
   for (const char *Name : {"b", "c", "d", "e", "f", "g", "h"})
     add(Name, Cold);
-  Demand_[Hot].Timely_.MilliCpus_ = 14000;
+  Demand_[Hot].FeasibleFinite_.MilliCpus_ = 14000;
   for (int I = 0; I < 40; ++I)
-    Demand_[Hot].Coming_.add(700);
+    Demand_[Hot].RecentArrivals_.add(700);
   BOOST_TEST(plan().size() == 4u);
-  Demand_[Hot].CameBefore_ = Demand_[Hot].Coming_;
+  Demand_[Hot].PriorArrivals_ = Demand_[Hot].RecentArrivals_;
   BOOST_TEST(plan().size() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(RiseByChanceIsNone) {
-  Inflow Before, Now;
+  ArrivedLoad Before, Now;
   Before.add(1000);
   Now.add(1000);
   Now.add(1000);
-  BOOST_TEST(Now.riseSince(Before) == 0);
+  BOOST_TEST(Now.lowerEstimateOfIncrease(Before) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(BusyMachinesStay) {
@@ -121,7 +121,7 @@
     add(Name, Cold);
     Machines_[MachineId(Name)].FiniteRuns_ = 1;
   }
-  Demand_[Hot].Timely_.MilliCpus_ = 4 * 14000;
+  Demand_[Hot].FeasibleFinite_.MilliCpus_ = 4 * 14000;
   BOOST_TEST(plan().empty());
 }
 
@@ -131,8 +131,8 @@
   add("a", Hot);
   for (const char *Name : {"b", "c", "d", "e"})
     add(Name, Cold);
-  Demand_[Hot].Timely_.MilliCpus_ = 9 * 14000;
-  Demand_[Cold].Standing_.MilliCpus_ = 14000;
+  Demand_[Hot].FeasibleFinite_.MilliCpus_ = 9 * 14000;
+  Demand_[Cold].LongRunning_.MilliCpus_ = 14000;
   BOOST_TEST(plan().size() == 1u);
 }
 
@@ -142,8 +142,8 @@
   add("a", Hot);
   for (const char *Name : {"b", "c", "d", "e"})
     add(Name, Cold);
-  Demand_[Hot].Timely_.MilliCpus_ = 9 * 14000;
-  Demand_[Cold].Standing_ = {14000, 3 * 30000, 0};
+  Demand_[Hot].FeasibleFinite_.MilliCpus_ = 9 * 14000;
+  Demand_[Cold].LongRunning_ = {14000, 3 * 30000, 0};
   BOOST_TEST(plan().empty());
 }
 
@@ -157,13 +157,13 @@
   }
   for (const char *Name : {"c", "d", "e"})
     add(Name, Cold);
-  Demand_[Hot].Standing_.MilliCpus_ = 8000;
-  Demand_[Hot].WaitingStanding_ = {8000, 1000, 0};
+  Demand_[Hot].LongRunning_.MilliCpus_ = 8000;
+  Demand_[Hot].WaitingLongRunning_ = {8000, 1000, 0};
   BOOST_REQUIRE(plan().size() == 1u);
   BOOST_TEST(plan()[0].To_ == Hot);
   Machines_[MachineId("c")].Record_.Pool_ = Hot;
   Machines_[MachineId("c")].Usable_ = false;
-  Machines_[MachineId("c")].Busy_ = true;
+  Machines_[MachineId("c")].InTransition_ = true;
   BOOST_TEST(plan().empty());
 }
 
@@ -173,7 +173,7 @@
   Machines_[MachineId("a")].FiniteRuns_ = 1;
   for (const char *Name : {"c", "d", "e"})
     add(Name, Cold);
-  Demand_[Hot].WaitingStanding_ = {17000, 1000, 0};
+  Demand_[Hot].WaitingLongRunning_ = {17000, 1000, 0};
   BOOST_TEST(plan().empty());
 }
 
@@ -182,11 +182,11 @@
 BOOST_AUTO_TEST_CASE(MachinesOnTheirWayCount) {
   add("a", Hot);
   add("b", Hot);
-  Machines_[MachineId("b")].Busy_ = true;
+  Machines_[MachineId("b")].InTransition_ = true;
   Machines_[MachineId("b")].Usable_ = false;
   add("c", Cold);
   add("d", Cold);
-  Demand_[Hot].Timely_.MilliCpus_ = 2 * 14000;
+  Demand_[Hot].FeasibleFinite_.MilliCpus_ = 2 * 14000;
   BOOST_TEST(plan().empty());
 }
 
@@ -205,7 +205,7 @@
   BOOST_TEST(plan()[0].Machine_ == MachineId("c"));
   BOOST_TEST(plan()[0].To_ == Cold);
   BOOST_TEST((plan()[0].Reason_ == MoveReason::Home));
-  Demand_[Hot].Timely_.MilliCpus_ = 14000;
+  Demand_[Hot].FeasibleFinite_.MilliCpus_ = 14000;
   BOOST_TEST(plan().empty());
 }
 
--- a/src/capacity/tests/upkeepplannertest.cpp
+++ b/src/capacity/tests/upkeepplannertest.cpp
@@ -11,7 +11,7 @@
 using jobs::RunName;
 using jobs::RunNumber;
 using jobs::WorkerId;
-using jobs::WorkerLife;
+using jobs::WorkerIncarnation;
 
 const TimePoint Start(std::chrono::hours(1));
 const JobId Job("0123456789abcdef");
@@ -21,7 +21,7 @@
   return MachineId("m" + std::to_string(I));
 }
 
-WorkerLife worker(std::uint32_t I) {
+WorkerIncarnation worker(std::uint32_t I) {
   return {WorkerId("w" + std::to_string(I)), 1};
 }
 
@@ -34,14 +34,14 @@
     jobs::StepSpec Step;
     Step.Count_ = 3;
     Step.LongRunning_ = true;
-    Step.MayMiss_ = 1;
+    Step.MaxUnavailable_ = 1;
     Spec.Steps_ = {Step};
     Table_.apply(jobs::JobAccepted{Spec}, Start);
     WaveRow &Wave = Waves_[WaveNumber(1)];
     Wave.Record_.Number_ = WaveNumber(1);
     Wave.Record_.MaxAllowed_ = 3;
     Wave.Record_.Duration_ = 60s;
-    Wave.SeenAt_ = Start;
+    Wave.FirstSeenAt_ = Start;
     for (std::uint32_t I = 0; I < 3; ++I) {
       addMachine(I);
       startOn(I);
@@ -62,14 +62,14 @@
     Table_.apply(jobs::RunIntended{Run, worker(I)}, Start);
     Table_.findLive(Run)->Confirmed_ = true;
     Table_.findLive(Run)->Percent_ = 100;
-    Machines_[machine(I)].StandingRuns_ = {Run};
+    Machines_[machine(I)].LongRunningRuns_ = {Run};
   }
 
   /// Passes until the machines that are held back are known to be so.
   UpkeepPlan plan(TimePoint Now = Start) {
     UpkeepPlan Plan = Planner_.plan(Machines_, Waves_, {}, Now);
     for (auto &[Id, View] : Machines_)
-      View.HeldBack_ = Plan.HoldBack_.contains(Id);
+      View.Cordoned_ = Plan.Cordon_.contains(Id);
     return Plan;
   }
 
@@ -93,14 +93,14 @@
 // A standing service loses two of three tasks at once: one worker has gone
 // dark, nobody hears so from its last report, and a wave then stops another.
 BOOST_AUTO_TEST_CASE(TaskOnASilentWorkerCountsAsAway) {
-  Table_.forgetProgress(worker(2));
+  Table_.resetProgress(worker(2));
   Machines_[machine(2)].Usable_ = false;
   Waves_[WaveNumber(1)].Record_.Machines_ = {machine(0), machine(1)};
   BOOST_TEST(plan().Evacuate_.empty());
 }
 
 BOOST_AUTO_TEST_CASE(EmptyMachineIsOrderedOnlyAfterItWasHeldBack) {
-  Machines_[machine(0)].StandingRuns_.clear();
+  Machines_[machine(0)].LongRunningRuns_.clear();
   BOOST_TEST(plan().Orders_.empty());
   const UpkeepPlan Second = plan();
   BOOST_REQUIRE(Second.Orders_.size() == 1u);
@@ -110,16 +110,16 @@
 BOOST_AUTO_TEST_CASE(NoMoreThanAllowedAreDownAtOnce) {
   Waves_[WaveNumber(1)].Record_.MaxAllowed_ = 1;
   for (auto &[Id, View] : Machines_)
-    View.StandingRuns_.clear();
+    View.LongRunningRuns_.clear();
   plan(Start + 59s);
   const UpkeepPlan Plan = plan(Start + 59s);
   BOOST_REQUIRE(Plan.Orders_.size() == 1u);
   const MachineId Gone = Plan.Orders_[0].Machine_;
-  Machines_[Gone].Busy_ = true;
+  Machines_[Gone].InTransition_ = true;
   BOOST_TEST(plan(Start + 59s).Orders_.empty());
   // Down by the platform's word, after the order was acknowledged.
-  Waves_[WaveNumber(1)].Begun_.insert(Gone);
-  Machines_[Gone].Busy_ = false;
+  Waves_[WaveNumber(1)].Started_.insert(Gone);
+  Machines_[Gone].InTransition_ = false;
   Machines_[Gone].Record_.State_ = MachineState::Upkeep;
   BOOST_TEST(plan(Start + 59s).Orders_.empty());
   Machines_[Gone].Record_.State_ = MachineState::Up;
@@ -128,8 +128,8 @@
 
 BOOST_AUTO_TEST_CASE(WaveIsDoneWhenAllHaveBegunAndAreBack) {
   for (auto &[Id, View] : Machines_)
-    View.StandingRuns_.clear();
-  Waves_[WaveNumber(1)].Begun_ = {machine(0), machine(1), machine(2)};
+    View.LongRunningRuns_.clear();
+  Waves_[WaveNumber(1)].Started_ = {machine(0), machine(1), machine(2)};
   Machines_[machine(1)].Record_.State_ = MachineState::Upkeep;
   BOOST_TEST(plan().Done_.empty());
   Machines_[machine(1)].Record_.State_ = MachineState::Up;
@@ -138,7 +138,7 @@
 
 // A machine that has left the fleet for good must not keep its wave open.
 BOOST_AUTO_TEST_CASE(MachinesThatHaveLeftDoNotCount) {
-  Waves_[WaveNumber(1)].Begun_ = {machine(0), machine(1)};
+  Waves_[WaveNumber(1)].Started_ = {machine(0), machine(1)};
   Machines_.erase(machine(2));
   BOOST_TEST(plan().Done_.size() == 1u);
 }
--- a/src/capacity/upkeepplanner.h
+++ b/src/capacity/upkeepplanner.h
@@ -10,12 +10,12 @@
 /// Progress of one wave of upkeep.
 struct WaveRow {
   WaveRecord Record_;
-  TimePoint SeenAt_{};
+  TimePoint FirstSeenAt_{};
   /// Machines whose upkeep has begun, by the platform's word.
-  std::set<MachineId> Begun_;
+  std::set<MachineId> Started_;
   /// Whether the operator has been told that it is done.
-  bool ToldDone_ = false;
-  bool ToldRunning_ = false;
+  bool DoneReported_ = false;
+  bool RunningReported_ = false;
 };
 
 struct UpkeepOrder {
@@ -25,7 +25,7 @@
 
 struct UpkeepPlan {
   /// Machines that are to get no new tasks.
-  std::set<MachineId> HoldBack_;
+  std::set<MachineId> Cordon_;
   /// Standing runs to stop now, so that they start elsewhere.
   std::vector<jobs::RunName> Evacuate_;
   std::vector<UpkeepOrder> Orders_;
@@ -34,7 +34,7 @@
 };
 
 /// How many tasks of a step are away: not at work at full speed.
-std::uint32_t awayOf(const jobs::StepRow &Step);
+std::uint32_t unavailableTasks(const jobs::StepRow &Step);
 
 /// Plans all waves. A machine is emptied before its upkeep: finite tasks end by
 /// themselves, standing tasks are moved one after the other, never more of a
@@ -44,7 +44,7 @@
 public:
   /// Share of a pool's machines that may be held back or down at a time, over
   /// all waves: what is left must carry the load. A pool always gives one.
-  static constexpr double MostOfPool = 0.34;
+  static constexpr double MaxPoolShare = 0.34;
   /// When a wave has this part of its time left for each machine still to go,
   /// the share of the pool no longer binds.
   static constexpr double UrgentFactor = 1.5;
--- a/src/cell/callrouter.h
+++ b/src/cell/callrouter.h
@@ -3,7 +3,7 @@
 #include "framework/clock/steadyclock.h"
 #include "framework/fibers/spawn.h"
 #include "framework/fibers/waiter.h"
-#include "journal/holder.h"
+#include "journal/leader.h"
 #include "peers/messages.h"
 
 #include <functional>
@@ -43,10 +43,10 @@
     /// Serves the call in this process if it leads.
     std::function<void(const peers::JobCall &, const ReplyFn &)> Local_;
     std::function<bool()> LeadsHere_;
-    std::function<journal::Holder()> Holder_;
+    std::function<journal::Leader()> Holder_;
     /// Whether a holder is this very process.
-    std::function<bool(const journal::Holder &)> IsHere_;
-    std::function<void(const journal::Holder &, const peers::JobCall &)> Send_;
+    std::function<bool(const journal::Leader &)> IsHere_;
+    std::function<void(const journal::Leader &, const peers::JobCall &)> Send_;
   };
 
   /// A reply takes some milliseconds between availability zones, and a commit
--- a/src/cell/cellservice.h
+++ b/src/cell/cellservice.h
@@ -32,7 +32,7 @@
 
   CellService(Store &S, Client &C, Service &Api, WorkerDirectory Directory,
               WaveReports Reports, AskAdvisor Ask, Candidacy Mine,
-              const journal::CellKeys &Keys, journal::Holder Self,
+              const journal::CellKeys &Keys, journal::Leader Self,
               CellBounds Bounds, framework::metrics::Registry &Metrics)
       : Store_(S), Client_(C), Api_(Api), Directory_(std::move(Directory)),
         Reports_(std::move(Reports)), Ask_(std::move(Ask)), Keys_(Keys),
@@ -82,7 +82,7 @@
   }
   const TermPtr &term() const { return Term_; }
   /// The last holder that was seen; its token is 0 when there is none.
-  const journal::Holder &holder() const { return Head_.holder(); }
+  const journal::Leader &holder() const { return Head_.holder(); }
 
   /// Sets the gauges of the term. All are zero when there is none, or when the
   /// store has not confirmed it for so long that nothing is ordered any more: a
@@ -211,7 +211,7 @@
       adoptConfig(T);
       const absl::Status Read = T.Log_.load(T.Table_, now());
       if (Read.ok()) {
-        T.Table_.setAges(
+        T.Table_.restoreAcceptTimes(
             framework::clock::toMillis(framework::clock::SystemClock().now()),
             now());
         // It may have ended while the answer was on its way.
@@ -272,18 +272,19 @@
   void loseUnreachable(Term<Store> &T) {
     if (!Sessions_)
       return;
-    std::vector<WorkerLife> Lost;
+    std::vector<WorkerIncarnation> Lost;
     for (const auto &[Life, Use] : T.Table_.workers())
       if (!T.Workers_.contains(Life) && now() > goneAfter(T, Life))
         Lost.push_back(Life);
-    for (const WorkerLife &Life : Lost)
+    for (const WorkerIncarnation &Life : Lost)
       Sessions_->loseRuns(Life, "unlisted, lease ran out");
   }
 
   /// When nothing can run any more on a life without a row. A process that has
   /// started again settles the runs of its former life itself; if it is never
   /// listed, an order that is carried out late may still reach it.
-  static TimePoint goneAfter(const Term<Store> &T, const WorkerLife &Life) {
+  static TimePoint goneAfter(const Term<Store> &T,
+                             const WorkerIncarnation &Life) {
     const auto Newer = T.Workers_.upper_bound(Life);
     if (Newer != T.Workers_.end() && Newer->first.Id_ == Life.Id_)
       return TimePoint::max();
@@ -304,10 +305,10 @@
     for (const auto &[Life, Row] : T.Workers_) {
       if (!Row->usable() || (Machines_ && Machines_->heldBack(Row->Record_)))
         continue;
-      const jobs::WorkerUse *Use = T.Table_.useOf(Life);
+      const jobs::WorkerUsage *Use = T.Table_.usageOf(Life);
       Workers.push_back(
           {&Row->Record_,
-           Use ? Row->Record_.Room_ - Use->Used_ : Row->Record_.Room_,
+           Use ? Row->Record_.Capacity_ - Use->Used_ : Row->Record_.Capacity_,
            Row->Distrust_ < LeastDistrust ? 0 : Row->Distrust_});
     }
     const scheduling::Scheduler Decide(T.Table_, T.Config_, T.Learned_,
@@ -315,7 +316,7 @@
     const scheduling::Plan Next = Decide.plan(
         Workers, {now(), framework::clock::toMillis(
                              framework::clock::SystemClock().now())});
-    for (const scheduling::StepName &Step : Next.WantAdvice_)
+    for (const scheduling::StepName &Step : Next.AwaitingAdvice_)
       askAdvice(T, Step, Workers);
     for (const jobs::RunIntended &Item : Next.Starts_) {
       Talks.staged(Item.Run_);
@@ -333,12 +334,12 @@
     const jobs::JobRow *Job = T.Table_.find(Step.Job_);
     const QueueConfig *Queue =
         Job ? T.Config_.find(Job->Spec_.Queue_) : nullptr;
-    if (!Queue || AskingAdvisor_ || !T.Advised_.beginAsking(Step, now()))
+    if (!Queue || AskingAdvisor_ || !T.Advised_.beginRequest(Step, now()))
       return;
     std::vector<WorkerId> Ids;
     for (const scheduling::Candidate &Item : Workers)
       if (Item.Worker_->Pool_ == Queue->Pool_ && Ids.size() < WorkersAskedAbout)
-        Ids.push_back(Item.Worker_->Life_.Id_);
+        Ids.push_back(Item.Worker_->Incarnation_.Id_);
     AskingAdvisor_ = true;
     framework::fibers::spawn([this, T = Term_, Step, Ids] {
       const TimePoint AskedAt = now();
@@ -348,14 +349,15 @@
           .field("step", Step.str())
           .field("asked", static_cast<std::uint64_t>(Ids.size()))
           .field("good", static_cast<std::uint64_t>(
-                             Reply.ok() ? Reply->Good_.size() : 0))
+                             Reply.ok() ? Reply->Workers_.size() : 0))
           .field("result", Reply.ok() ? "answered" : "no answer");
       if (!T || T->over())
         return;
       if (Reply.ok())
-        T->Advised_.answered(Step, Reply->Good_, Reply->Valid_, AskedAt);
+        T->Advised_.recordAnswer(Step, Reply->Workers_, Reply->ValidFor_,
+                                 AskedAt);
       else
-        T->Advised_.unanswered(Step, now());
+        T->Advised_.recordNoAnswer(Step, now());
       T->Commits_.wake();
     });
   }
--- a/src/cell/celltypes.h
+++ b/src/cell/celltypes.h
@@ -29,7 +29,7 @@
 using jobs::Resources;
 using jobs::WaveNumber;
 using jobs::WorkerId;
-using jobs::WorkerLife;
+using jobs::WorkerIncarnation;
 using jobs::WorkspaceConfig;
 using jobs::WorkspaceName;
 using workers::MachineRecord;
--- a/src/cell/commitqueue.h
+++ b/src/cell/commitqueue.h
@@ -38,7 +38,7 @@
 
   /// Applies and stages one event; \p Done runs when its fate is known.
   void stage(jobs::Event Item, Callback Done = nullptr) {
-    Table_.complete(Item);
+    Table_.recordAttemptLimit(Item);
     Table_.apply(Item, framework::clock::SteadyClock().now());
     Events_.push_back(std::move(Item));
     if (Done)
@@ -73,7 +73,7 @@
       Next = framework::clock::SteadyClock().now() + LeastInterval;
       if (!commitGroup())
         break;
-      if (Log_.wantsSnapshot() && !Log_.writeSnapshot(Table_).ok())
+      if (Log_.snapshotDue() && !Log_.writeSnapshot(Table_).ok())
         break;
     }
     finish(CommitOutcome::Unknown);
--- a/src/cell/directory.h
+++ b/src/cell/directory.h
@@ -63,7 +63,7 @@
 
   void replaceDirectory(Term<Store> &T,
                         const std::vector<store::KeyValue> &Items) {
-    std::set<WorkerLife> Listed;
+    std::set<WorkerIncarnation> Listed;
     for (const store::KeyValue &Item : Items)
       if (const auto Life = noteWorker(T, Item))
         Listed.insert(*Life);
@@ -72,16 +72,16 @@
         Row->Listed_ = false;
   }
 
-  std::optional<WorkerLife> noteWorker(Term<Store> &T,
-                                       const store::KeyValue &Item) {
+  std::optional<WorkerIncarnation> noteWorker(Term<Store> &T,
+                                              const store::KeyValue &Item) {
     const auto Record = Directory_.Read_(Item);
-    if (!Record || T.EndedLives_.contains(Record->Life_))
+    if (!Record || T.EndedLives_.contains(Record->Incarnation_))
       return std::nullopt;
-    const auto Known = T.Workers_.find(Record->Life_);
+    const auto Known = T.Workers_.find(Record->Incarnation_);
     if (Known != T.Workers_.end()) {
       if (Record->Draining_ != Known->second->Record_.Draining_)
         framework::log::info("worker.changed")
-            .field("worker", Record->Life_.Id_.str())
+            .field("worker", Record->Incarnation_.Id_.str())
             .field("draining", Record->Draining_ ? "yes" : "no");
       Known->second->Record_ = *Record;
       Known->second->Listed_ = true;
@@ -90,32 +90,33 @@
     }
     Machines_->noteWorker(*Record);
     T.Commits_.wake();
-    return Record->Life_;
+    return Record->Incarnation_;
   }
 
   void addWorker(Term<Store> &T, const WorkerRecord &Record) {
     // A worker is one life of a machine, and an id names one life at a time.
     std::vector<WorkerRowPtr> Over;
     for (const auto &[Life, Row] : T.Workers_)
-      if ((Life.Id_ == Record.Life_.Id_ &&
-           Life.BornMs_ < Record.Life_.BornMs_) ||
-          (!Record.Machine_.empty() && Life.Id_ != Record.Life_.Id_ &&
+      if ((Life.Id_ == Record.Incarnation_.Id_ &&
+           Life.StartedMs_ < Record.Incarnation_.StartedMs_) ||
+          (!Record.Machine_.empty() && Life.Id_ != Record.Incarnation_.Id_ &&
            Row->Record_.Machine_ == Record.Machine_ &&
-           Life.BornMs_ < Record.Life_.BornMs_))
+           Life.StartedMs_ < Record.Incarnation_.StartedMs_))
         Over.push_back(Row);
     auto Row = std::make_shared<WorkerRow>();
     Row->Record_ = Record;
     Row->ClockAt_ = now();
     Row->ListedAt_ = now();
-    T.Workers_[Record.Life_] = Row;
+    T.Workers_[Record.Incarnation_] = Row;
     framework::log::info("worker.listed")
-        .field("worker", Record.Life_.Id_.str())
-        .field("born_ms", Record.Life_.BornMs_)
+        .field("worker", Record.Incarnation_.Id_.str())
+        .field("born_ms", Record.Incarnation_.StartedMs_)
         .field("pool", Record.Pool_.str());
     Sessions_->open(Row);
     for (const WorkerRowPtr &Old : Over)
       Sessions_->lifeOver(*Old, "a newer life is listed",
-                          Old->Record_.Life_.Id_ == Record.Life_.Id_);
+                          Old->Record_.Incarnation_.Id_ ==
+                              Record.Incarnation_.Id_);
   }
 
   void unlist(Term<Store> &T, const std::string &Key) {
--- a/src/cell/fillerpace.h
+++ b/src/cell/fillerpace.h
@@ -20,12 +20,12 @@
   void started(const jobs::RunName &Run) {
     const jobs::StepSpec *Step = Term_->Table_.specOf(Run.Task_);
     if (Step && Step->Filler_)
-      (*Paced_)[Run] = scheduling::Pacer::Full;
+      (*Paced_)[Run] = scheduling::Pacer::FullPercent;
   }
 
   /// Takes a worker's report.
   void take(WorkerRow &Row, const HoldReply &Reply) {
-    std::vector<scheduling::ServingLoad> Serving;
+    std::vector<scheduling::ServingLatency> Serving;
     std::vector<jobs::RunName> Fillers;
     for (const RunningRow &Item : Reply.Running_) {
       const jobs::StepSpec *Step = Term_->Table_.specOf(Item.Run_.Task_);
@@ -38,7 +38,7 @@
     }
     if (Fillers.empty())
       return;
-    const int Percent = Row.Pace_.next(Serving);
+    const int Percent = Row.Pace_.update(Serving);
     for (const jobs::RunName &Run : Fillers) {
       const auto Known = Paced_->find(Run);
       if (Known == Paced_->end() || Known->second != Percent)
@@ -60,7 +60,7 @@
       framework::log::info("run.pace")
           .field("task", Run.Task_.str())
           .field("run", Run.Run_.value())
-          .field("worker", Record.Life_.Id_.str())
+          .field("worker", Record.Incarnation_.Id_.str())
           .field("percent", Percent)
           .field("result", nameOf(Reply.Result_));
       // Unknown or refused: the next report sends it again.
--- a/src/cell/headkeeper.h
+++ b/src/cell/headkeeper.h
@@ -62,7 +62,7 @@
 
   using OfferFn = std::function<void(const peers::HeadOffer &)>;
 
-  HeadKeeper(Store &S, const journal::CellKeys &Keys, journal::Holder Self,
+  HeadKeeper(Store &S, const journal::CellKeys &Keys, journal::Leader Self,
              Candidacy Mine, HeadEvents Events)
       : Store_(S), Keys_(Keys), Mine_(std::move(Mine)),
         Events_(std::move(Events)), Lead_(S, Keys, std::move(Self)) {}
@@ -91,7 +91,7 @@
     Begun_.reset();
     Events_.Over_(Reason);
     if (!Leaving_)
-      Lead_.forget();
+      Lead_.markLost();
   }
 
   /// How an offer of the leadership reaches the peers.
@@ -111,11 +111,11 @@
 
   /// Whether this entry leads, has not offered that to others, and nobody else
   /// can lead now.
-  bool surelyLeads() const { return !Offered_ && Lead_.surelyHeld(now()); }
+  bool surelyLeads() const { return !Offered_ && Lead_.leaseValidAt(now()); }
   /// Outlives every term that is begun under it.
   journal::Leadership<Store> &leadership() { return Lead_; }
   /// The last holder that was seen; its token is 0 when there is none.
-  const journal::Holder &holder() const { return Seen_; }
+  const journal::Leader &holder() const { return Seen_; }
 
 private:
   static TimePoint now() { return framework::clock::SteadyClock().now(); }
@@ -158,7 +158,7 @@
         framework::fibers::sleepFor(CampaignPause);
         continue;
       }
-      Seen_ = journal::Holder();
+      Seen_ = journal::Leader();
       for (const store::KeyValue &Item : Read->Items_)
         noteHead(Item);
       if (!Leaving_ && !Lead_.held() && !Campaigning_) {
@@ -177,7 +177,7 @@
     if (Item.Key_ != Keys_.head())
       return;
     if (const auto Read =
-            journal::decodeHolder(Item.Value_, Item.ModRevision_)) {
+            journal::decodeLeader(Item.Value_, Item.ModRevision_)) {
       Seen_ = *Read;
       Waited_ = false;
       // A head of this process that is not the known one is its own rewrite,
@@ -185,7 +185,7 @@
       const bool Others = !Read->sameProcess(Lead_.self());
       if (Others && Lead_.held() && Lead_.token() != Seen_.Token_)
         end("another holder was seen");
-      else if (!Lead_.held() && Lead_.adoptIfOwn(*Read).value_or(false))
+      else if (!Lead_.held() && Lead_.adoptOwnHead(*Read).value_or(false))
         begin();
     }
   }
@@ -213,14 +213,14 @@
   /// this entry.
   void campaign() {
     const bool Free = Seen_.Token_.value() == 0;
-    const journal::Holder &Self = Lead_.self();
+    const journal::Leader &Self = Lead_.self();
     const bool Former =
         Seen_.Entry_ == Self.Entry_ && Seen_.Incarnation_ < Self.Incarnation_;
     if (!Free && !Former)
       return;
     if (Free && !waitedItsTurn())
       return;
-    finishCampaign(Free ? Lead_.campaign() : Lead_.replace(Seen_),
+    finishCampaign(Free ? Lead_.campaign() : Lead_.takeOverFrom(Seen_),
                    Free ? "free" : "former process");
   }
 
@@ -252,7 +252,7 @@
   /// offer on this entry answers no call, since a peer may lead at any moment;
   /// what runs keeps its leases, as without an offer.
   void offerIfCutOff() {
-    const bool Silent = now() - Lead_.heardAt() > OfferAfter;
+    const bool Silent = now() - Lead_.confirmationReceivedAt() > OfferAfter;
     SilentLooks_ = Silent ? SilentLooks_ + 1 : 0;
     const bool CutOff =
         SilentLooks_ >= SilentLooks || Lead_.refusals() >= OfferAfterRefusals;
@@ -276,9 +276,9 @@
     if (!Read.ok() || Lead_.held() || Leaving_)
       return;
     for (const store::KeyValue &Item : Read->Items_) {
-      const auto Former = journal::decodeHolder(Item.Value_, Item.ModRevision_);
+      const auto Former = journal::decodeLeader(Item.Value_, Item.ModRevision_);
       if (Item.Key_ == Keys_.head() && Former && Former->Token_ == Token)
-        finishCampaign(Lead_.replace(*Former), "offered");
+        finishCampaign(Lead_.takeOverFrom(*Former), "offered");
     }
   }
 
@@ -288,7 +288,7 @@
     if (std::exchange(TakingBack_, true))
       return;
     const auto Before = Begun_;
-    const auto Written = Lead_.rewrite();
+    const auto Written = Lead_.rewriteHead();
     TakingBack_ = false;
     if (!Begun_ || Begun_ != Before || !Written.ok())
       return;
@@ -335,7 +335,7 @@
       return;
     if (Begun_)
       Events_.Over_("it was lost, and another has begun");
-    Begun_ = Lead_.reign();
+    Begun_ = Lead_.term();
     Offered_ = false;
     Events_.Begun_();
   }
@@ -345,9 +345,9 @@
   Candidacy Mine_;
   HeadEvents Events_;
   journal::Leadership<Store> Lead_;
-  journal::Holder Seen_;
+  journal::Leader Seen_;
   /// The leadership that was told to have begun and not to be over.
-  std::optional<journal::Reign> Begun_;
+  std::optional<journal::TermNumber> Begun_;
   OfferFn Offer_;
   /// Peers have been told that they may lead.
   bool Offered_ = false;
--- a/src/cell/internal/callrouter.cpp
+++ b/src/cell/internal/callrouter.cpp
@@ -19,7 +19,7 @@
   while (SteadyClock().now() < Deadline) {
     Mine->Wake_ = std::make_shared<framework::fibers::Waiter>();
     Mine->Reply_.reset();
-    const journal::Holder Holder = Paths_.Holder_();
+    const journal::Leader Holder = Paths_.Holder_();
     if (Paths_.LeadsHere_()) {
       Fate.sent();
       Paths_.Local_(Call, [Mine](const JobReply &Reply) {
--- a/src/cell/internal/machinetable.cpp
+++ b/src/cell/internal/machinetable.cpp
@@ -10,11 +10,11 @@
     capacity::MachineView &View = Views_[Item.Id_];
     if (View.Record_.Id_.empty())
       View.IdleSince_ = Now;
-    const Resources Room = View.Record_.Room_;
+    const Resources Room = View.Record_.Capacity_;
     View.Record_ = Item;
     noteLeftAlone(View);
-    if (Item.Room_ == Resources())
-      View.Record_.Room_ = Room;
+    if (Item.Capacity_ == Resources())
+      View.Record_.Capacity_ = Room;
     Homes_.try_emplace(Item.Id_, Item.Pool_);
     const auto Found = Orders_.find(Item.Id_);
     if (Found != Orders_.end() && Found->second.Acknowledged_ &&
@@ -30,15 +30,16 @@
   if (Record.Machine_.empty())
     return;
   const auto Known = LifeOf_.find(Record.Machine_);
-  if (Known != LifeOf_.end() && Known->second.BornMs_ >= Record.Life_.BornMs_)
+  if (Known != LifeOf_.end() &&
+      Known->second.StartedMs_ >= Record.Incarnation_.StartedMs_)
     return;
-  LifeOf_[Record.Machine_] = Record.Life_;
+  LifeOf_[Record.Machine_] = Record.Incarnation_;
   capacity::MachineView &View = Views_[Record.Machine_];
   View.Record_.Id_ = Record.Machine_;
   View.Record_.Pool_ = Record.Pool_;
   View.Record_.State_ = MachineState::Up;
-  View.Record_.Room_ = Record.Room_;
-  View.Record_.Worker_ = Record.Life_.Id_;
+  View.Record_.Capacity_ = Record.Capacity_;
+  View.Record_.Worker_ = Record.Incarnation_.Id_;
   View.IdleSince_ = Now;
   noteLeftAlone(View);
   Homes_.try_emplace(Record.Machine_, Record.Pool_);
@@ -50,7 +51,7 @@
   if (Found == Orders_.end())
     return;
   if (Now < Found->second.NewLifeFrom_)
-    Found->second.Life_ = Record.Life_;
+    Found->second.Life_ = Record.Incarnation_;
   else
     Orders_.erase(Found);
 }
@@ -81,14 +82,14 @@
     noteLeftAlone(View->second);
 }
 
-std::optional<WorkerLife>
+std::optional<WorkerIncarnation>
 MachineTable::lifeOrdered(const MachineId &Machine) const {
   const auto Found = Orders_.find(Machine);
   return Found == Orders_.end() ? std::nullopt : Found->second.Life_;
 }
 
-std::set<WorkerLife> MachineTable::orderedAway(TimePoint Before) const {
-  std::set<WorkerLife> Lives;
+std::set<WorkerIncarnation> MachineTable::orderedAway(TimePoint Before) const {
+  std::set<WorkerIncarnation> Lives;
   for (const auto &[Machine, Item] : Orders_)
     if (Item.Acknowledged_ && Item.At_ < Before && Item.Life_)
       Lives.insert(*Item.Life_);
@@ -99,7 +100,7 @@
   if (busy(Machine))
     return true;
   const auto Found = Views_.find(Machine);
-  return Found != Views_.end() && Found->second.HeldBack_;
+  return Found != Views_.end() && Found->second.Cordoned_;
 }
 
 bool MachineTable::saysGone(const WorkerRecord &Worker) const {
@@ -110,7 +111,8 @@
     return true;
   const MachineRecord &Machine = Found->second.Record_;
   return Machine.State_ != MachineState::Up ||
-         (!Machine.Worker_.empty() && Machine.Worker_ != Worker.Life_.Id_);
+         (!Machine.Worker_.empty() &&
+          Machine.Worker_ != Worker.Incarnation_.Id_);
 }
 
 bool MachineTable::listsWorker(const WorkerId &Worker) const {
@@ -121,7 +123,8 @@
   return false;
 }
 
-std::optional<WorkerLife> MachineTable::lifeOn(const MachineId &Machine) const {
+std::optional<WorkerIncarnation>
+MachineTable::lifeOn(const MachineId &Machine) const {
   const auto Found = LifeOf_.find(Machine);
   return Found == LifeOf_.end() ? std::nullopt : std::optional(Found->second);
 }
--- a/src/cell/internal/pooldemand.cpp
+++ b/src/cell/internal/pooldemand.cpp
@@ -17,8 +17,8 @@
 Resources openOf(const jobs::StepRow &Row, const jobs::StepSpec &Spec) {
   const auto Tasks =
       static_cast<std::int64_t>(Row.Tasks_.size() - Row.DoneCount_);
-  return {Tasks * Spec.Each_.MilliCpus_, Tasks * Spec.Each_.MemoryMb_,
-          Tasks * Spec.Each_.Accelerators_};
+  return {Tasks * Spec.PerTask_.MilliCpus_, Tasks * Spec.PerTask_.MemoryMb_,
+          Tasks * Spec.PerTask_.Accelerators_};
 }
 
 bool waits(const jobs::StepRow &Row, TimePoint Now) {
@@ -37,9 +37,9 @@
 
 void addStanding(const jobs::StepRow &Row, const jobs::StepSpec &Spec,
                  TimePoint Now, capacity::PoolDemand &Into) {
-  Into.Standing_ += openOf(Row, Spec);
+  Into.LongRunning_ += openOf(Row, Spec);
   if (waits(Row, Now))
-    Into.WaitingStanding_ = larger(Into.WaitingStanding_, Spec.Each_);
+    Into.WaitingLongRunning_ = larger(Into.WaitingLongRunning_, Spec.PerTask_);
 }
 
 void addSteps(const jobs::JobRow &Job, bool Late, TimePoint Now,
@@ -53,19 +53,21 @@
       if (Spec.LongRunning_)
         addStanding(Row, Spec, Now, Into);
       else if (!Late)
-        Into.Timely_ += openOf(Row, Spec);
+        Into.FeasibleFinite_ += openOf(Row, Spec);
     }
 }
 
 /// Counts the job to what comes in now, or came in before, by its age. What
 /// was cancelled needs nothing.
-void addInflow(const jobs::JobRow &Job, const scheduling::Estimates &Learned,
-               TimePoint Now, capacity::PoolDemand &Into) {
+void addInflow(const jobs::JobRow &Job,
+               const scheduling::RunTimeEstimator &Learned, TimePoint Now,
+               capacity::PoolDemand &Into) {
   const Duration Age = Now - Job.AcceptedAt_;
   if (Age >= 2 * InflowWindow || Job.State_ == jobs::JobState::Cancelled)
     return;
-  capacity::Inflow &Of = Age < InflowWindow ? Into.Coming_ : Into.CameBefore_;
-  Of.add(scheduling::workOf(Job.Spec_, Learned) /
+  capacity::ArrivedLoad &Of =
+      Age < InflowWindow ? Into.RecentArrivals_ : Into.PriorArrivals_;
+  Of.add(scheduling::totalCpuWork(Job.Spec_, Learned) /
          static_cast<double>(InflowWindow.count()));
 }
 
@@ -73,7 +75,7 @@
 
 std::map<PoolName, capacity::PoolDemand>
 demandOf(const jobs::CellTable &Table, const CellConfig &Config,
-         const scheduling::Estimates &Learned, TimePoint Now) {
+         const scheduling::RunTimeEstimator &Learned, TimePoint Now) {
   std::map<PoolName, capacity::PoolDemand> Result;
   for (const auto &[Order, Id] : Table.open()) {
     const jobs::JobRow &Job = *Table.find(Id);
@@ -82,7 +84,8 @@
       continue;
     capacity::PoolDemand &Into = Result[Queue->Pool_];
     addInflow(Job, Learned, Now, Into);
-    addSteps(Job, Now > scheduling::dueAt(Job, *Queue, Learned), Now, Into);
+    addSteps(Job, Now > scheduling::deadlineOf(Job, *Queue, Learned), Now,
+             Into);
   }
   // Short jobs are done before their wave of arrivals has passed.
   for (const jobs::JobId &Id : Table.endedSince(Now - 2 * InflowWindow))
--- a/src/cell/internal/runtracker.cpp
+++ b/src/cell/internal/runtracker.cpp
@@ -70,10 +70,10 @@
   noteFirst(Starts_[Run].StoppedLaterAt_, Now);
 }
 
-std::vector<RunName> RunTracker::unwanted(const WorkerLife &Worker,
+std::vector<RunName> RunTracker::unwanted(const WorkerIncarnation &Worker,
                                           TimePoint AsOf) const {
   std::vector<RunName> Result;
-  const jobs::WorkerUse *Use = Table_.useOf(Worker);
+  const jobs::WorkerUsage *Use = Table_.usageOf(Worker);
   if (!Use)
     return Result;
   for (const RunName &Run : Use->Runs_)
@@ -91,11 +91,11 @@
   return Known != Starts_.end() && Known->second.StoppedAt_.has_value();
 }
 
-bool RunTracker::haunted(const WorkerLife &Worker) const {
+bool RunTracker::haunted(const WorkerIncarnation &Worker) const {
   const auto &All = Table_.workers();
-  const auto First = All.lower_bound(WorkerLife{Worker.Id_, 0});
+  const auto First = All.lower_bound(WorkerIncarnation{Worker.Id_, 0});
   return First != All.end() && First->first.Id_ == Worker.Id_ &&
-         First->first.BornMs_ < Worker.BornMs_;
+         First->first.StartedMs_ < Worker.StartedMs_;
 }
 
 void RunTracker::forget(const RunName &Run) {
@@ -103,7 +103,7 @@
   Staged_.erase(Run);
 }
 
-RunTracker::Report RunTracker::report(const WorkerLife &Worker,
+RunTracker::Report RunTracker::report(const WorkerIncarnation &Worker,
                                       const HoldReply &Reply, TimePoint SentAt,
                                       std::uint64_t EndsStaged) {
   Report Result;
@@ -111,15 +111,15 @@
   for (const EndRow &Item : Reply.Ends_) {
     Listed.insert(Item.Run_);
     const LiveRun *Live = Table_.find(Item.Run_);
-    const bool Here = Live && Live->On_.Id_ == Worker.Id_ &&
-                      Live->On_.BornMs_ <= Worker.BornMs_;
+    const bool Here = Live && Live->Worker_.Id_ == Worker.Id_ &&
+                      Live->Worker_.StartedMs_ <= Worker.StartedMs_;
     if (Item.Number_ > EndsStaged && Here)
       Result.Ended_.push_back({Item.Run_, Item.Kind_, Item.Saved_, "listed"});
   }
   for (const RunningRow &Item : Reply.Running_) {
     Listed.insert(Item.Run_);
     LiveRun *Live = Table_.findLive(Item.Run_);
-    if (!Live || Live->On_ != Worker) {
+    if (!Live || Live->Worker_ != Worker) {
       Result.Unknown_.push_back(Item.Run_);
       continue;
     }
@@ -129,7 +129,7 @@
       Table_.findTask(Item.Run_.Task_)->Saved_ = Item.Saved_;
   }
   reportFormerLives(Worker, Listed, SentAt, Result);
-  const jobs::WorkerUse *Use = Table_.useOf(Worker);
+  const jobs::WorkerUsage *Use = Table_.usageOf(Worker);
   if (!Use)
     return Result;
   for (const RunName &Run : Use->Runs_)
@@ -138,11 +138,11 @@
   return Result;
 }
 
-void RunTracker::reportFormerLives(const WorkerLife &Worker,
+void RunTracker::reportFormerLives(const WorkerIncarnation &Worker,
                                    const std::set<RunName> &Listed,
                                    TimePoint SentAt, Report &Into) const {
   const auto &All = Table_.workers();
-  for (auto Life = All.lower_bound(WorkerLife{Worker.Id_, 0});
+  for (auto Life = All.lower_bound(WorkerIncarnation{Worker.Id_, 0});
        Life != All.end() && Life->first < Worker; ++Life)
     for (const RunName &Run : Life->second.Runs_) {
       if (Listed.contains(Run))
--- a/src/cell/machineorders.h
+++ b/src/cell/machineorders.h
@@ -52,7 +52,7 @@
   /// since this was planned.
   void move(const capacity::MoveOrder &Order) {
     const auto Life = Table_->lifeOn(Order.Machine_);
-    if (Life && Term_->Table_.useOf(*Life))
+    if (Life && Term_->Table_.usageOf(*Life))
       return;
     Table_->ordered(Order.Machine_, Term_->Bounds_.Move_, now());
     framework::fibers::spawn([Self = this->shared_from_this(), Order] {
@@ -102,9 +102,9 @@
   /// while the order is open, and a machine that still needs it is planned
   /// anew, so to give it up is enough.
   bool asOrdered(const MachineId &Machine) const {
-    const std::optional<WorkerLife> Life = Table_->lifeOrdered(Machine);
+    const std::optional<WorkerIncarnation> Life = Table_->lifeOrdered(Machine);
     return Table_->busy(Machine) && Table_->lifeOn(Machine) == Life &&
-           !(Life && Term_->Table_.useOf(*Life));
+           !(Life && Term_->Table_.usageOf(*Life));
   }
 
   void countOrder(std::string_view Result) {
--- a/src/cell/machines.h
+++ b/src/cell/machines.h
@@ -49,10 +49,10 @@
 
   void start() {
     for (const auto &[Machine, Order] : Term_->Table_.machineOrders()) {
-      Table_->setHome(Machine, Order.Home_);
+      Table_->setHome(Machine, Order.HomePool_);
       Table_->leaveAloneUntil(Machine, Term_->BegunAt_ +
                                            Term_->Bounds_.MachineLease_ -
-                                           Order.Quiet_);
+                                           Order.SinceLastOrder_);
     }
     framework::fibers::spawn(
         [Self = this->shared_from_this()] { Self->listLoop(); });
@@ -66,7 +66,7 @@
       if (!Fresh)
         continue;
       Row->second.Record_ = Record;
-      Row->second.SeenAt_ = now();
+      Row->second.FirstSeenAt_ = now();
       framework::log::info("wave.seen")
           .field("wave", Number.value())
           .field("machines",
@@ -130,17 +130,17 @@
         return true;
     for (const auto &[Life, Row] : Term_->Workers_)
       if ((Row->Unanswered_ > 0 || !Row->Listed_) &&
-          Term_->Table_.useOf(Life) != nullptr)
+          Term_->Table_.usageOf(Life) != nullptr)
         return true;
     for (const auto &[Number, Wave] : Waves_)
-      if (!Wave.ToldDone_)
+      if (!Wave.DoneReported_)
         return true;
     return false;
   }
 
   void takeList(const std::vector<MachineRecord> &List, TimePoint Asked) {
     const TimePoint ListOf = Asked - ListLag;
-    const std::set<WorkerLife> Away = Table_->orderedAway(ListOf);
+    const std::set<WorkerIncarnation> Away = Table_->orderedAway(ListOf);
     Table_->takeList(List, Asked);
     std::vector<WorkerRowPtr> Gone;
     for (const auto &[Life, Row] : Term_->Workers_) {
@@ -157,7 +157,7 @@
 
   /// Runs on workers that nobody talks to any more and that no machine runs.
   void loseUnlisted(TimePoint ListOf) {
-    std::vector<WorkerLife> Lost;
+    std::vector<WorkerIncarnation> Lost;
     for (const auto &[Life, Use] : Term_->Table_.workers()) {
       const auto Ended = Term_->EndedLives_.find(Life);
       const TimePoint Since =
@@ -166,7 +166,7 @@
           !Table_->listsWorker(Life.Id_))
         Lost.push_back(Life);
     }
-    for (const WorkerLife &Life : Lost)
+    for (const WorkerIncarnation &Life : Lost)
       Sessions_->loseRuns(Life, "no machine runs its worker");
   }
 
@@ -175,7 +175,7 @@
   void evacuateDraining() {
     std::vector<jobs::RunName> Leaving;
     for (const auto &[Life, Row] : Term_->Workers_) {
-      const jobs::WorkerUse *Use = Term_->Table_.useOf(Life);
+      const jobs::WorkerUsage *Use = Term_->Table_.usageOf(Life);
       if (!Row->Record_.Draining_ || Row->Over_ || !Use)
         continue;
       for (const jobs::RunName &Run : Use->Runs_) {
@@ -210,10 +210,10 @@
   void refreshViews() {
     for (auto &[Id, View] : Table_->views()) {
       View.Usable_ = false;
-      View.Busy_ = Table_->busy(Id);
+      View.InTransition_ = Table_->busy(Id);
       View.Used_ = Resources();
       View.FiniteRuns_ = 0;
-      View.StandingRuns_.clear();
+      View.LongRunningRuns_.clear();
     }
     for (const auto &[Life, Row] : Term_->Workers_) {
       const auto Found = Table_->views().find(Row->Record_.Machine_);
@@ -221,7 +221,7 @@
         continue;
       capacity::MachineView &View = Found->second;
       View.Usable_ = View.Usable_ || Row->usable();
-      const jobs::WorkerUse *Use = Term_->Table_.useOf(Life);
+      const jobs::WorkerUsage *Use = Term_->Table_.usageOf(Life);
       if (!Use)
         continue;
       View.IdleSince_ = now();
@@ -229,7 +229,7 @@
       for (const jobs::RunName &Run : Use->Runs_) {
         const jobs::StepSpec *Step = Term_->Table_.specOf(Run.Task_);
         if (Step && Step->LongRunning_)
-          View.StandingRuns_.push_back(Run);
+          View.LongRunningRuns_.push_back(Run);
         else
           ++View.FiniteRuns_;
       }
@@ -250,15 +250,15 @@
     for (auto &[Number, Wave] : Waves_)
       if (const auto Begun = Term_->Table_.upkeep().find(Number);
           Begun != Term_->Table_.upkeep().end())
-        Wave.Begun_ = Begun->second;
+        Wave.Started_ = Begun->second;
     const capacity::UpkeepPlanner Planner(Term_->Table_,
                                           Term_->Bounds_.Upkeep_);
     const capacity::UpkeepPlan Plan =
         Planner.plan(Table_->views(), Waves_, standbyPools(), now());
     for (auto &[Id, View] : Table_->views())
-      View.HeldBack_ = Plan.HoldBack_.contains(Id);
+      View.Cordoned_ = Plan.Cordon_.contains(Id);
     for (auto &[Number, Wave] : Waves_)
-      if (!Wave.ToldRunning_)
+      if (!Wave.RunningReported_)
         report(Number, Wave, false);
     for (const WaveNumber Number : Plan.Done_)
       report(Number, Waves_.at(Number), true);
@@ -275,10 +275,10 @@
   }
 
   void report(WaveNumber Number, capacity::WaveRow &Wave, bool Done) {
-    if (Wave.ToldDone_)
+    if (Wave.DoneReported_)
       return;
-    Wave.ToldRunning_ = true;
-    Wave.ToldDone_ = Done;
+    Wave.RunningReported_ = true;
+    Wave.DoneReported_ = Done;
     framework::fibers::spawn([Self = this->shared_from_this(), Number, Done] {
       Self->sendReport(Number, Done);
     });
@@ -289,7 +289,7 @@
     Txn.Puts_ = {{Reports_.Key_(Number), Reports_.Value_(Done), 0}};
     while (!Term_->over()) {
       // An older report that is carried out late must not hide a newer one.
-      if (!Done && Waves_.at(Number).ToldDone_)
+      if (!Done && Waves_.at(Number).DoneReported_)
         return;
       Txn.Compares_ = {{Keys_.head(), fleet::Revision(Term_->Token_.value())}};
       const auto Written =
--- a/src/cell/machinetable.h
+++ b/src/cell/machinetable.h
@@ -37,10 +37,10 @@
   void acknowledged(const MachineId &Machine, TimePoint Now);
   /// The life that the open order ends, if it has been seen: the one on the
   /// machine when it left, or one from before that was seen only later.
-  std::optional<WorkerLife> lifeOrdered(const MachineId &Machine) const;
+  std::optional<WorkerIncarnation> lifeOrdered(const MachineId &Machine) const;
   /// Lives for which orders were given that were acknowledged before \p Before.
   /// Each is over if a list that is newer says that it is gone.
-  std::set<WorkerLife> orderedAway(TimePoint Before) const;
+  std::set<WorkerIncarnation> orderedAway(TimePoint Before) const;
   /// The platform has refused the order: nothing was done. The machine is not
   /// moved for a while, since the next order would be refused as well, and each
   /// is paid for.
@@ -71,7 +71,7 @@
   bool listsWorker(const WorkerId &Worker) const;
 
   /// The machine's current worker, if one has been seen.
-  std::optional<WorkerLife> lifeOn(const MachineId &Machine) const;
+  std::optional<WorkerIncarnation> lifeOn(const MachineId &Machine) const;
 
   Views &views() { return Views_; }
   const std::map<MachineId, PoolName> &homes() const { return Homes_; }
@@ -84,7 +84,7 @@
     /// No life that comes up after it can have come up before this.
     TimePoint NewLifeFrom_{};
     bool Acknowledged_ = false;
-    std::optional<WorkerLife> Life_;
+    std::optional<WorkerIncarnation> Life_;
   };
 
   /// A new life has been seen on the machine: it settles the order, or it is
@@ -95,7 +95,7 @@
 
   Duration Settle_;
   Views Views_;
-  std::map<MachineId, WorkerLife> LifeOf_;
+  std::map<MachineId, WorkerIncarnation> LifeOf_;
   std::map<MachineId, PoolName> Homes_;
   std::map<MachineId, Order> Orders_;
   std::map<MachineId, TimePoint> LeftAlone_;
--- a/src/cell/pooldemand.h
+++ b/src/cell/pooldemand.h
@@ -3,7 +3,7 @@
 #include "capacity/poolplanner.h"
 #include "cell/celltypes.h"
 #include "jobs/celltable.h"
-#include "scheduling/estimates.h"
+#include "scheduling/runtimeestimator.h"
 
 namespace laburnumspread::cell {
 
@@ -16,6 +16,6 @@
 /// nothing, and neither do steps that wait for others.
 std::map<PoolName, capacity::PoolDemand>
 demandOf(const jobs::CellTable &Table, const CellConfig &Config,
-         const scheduling::Estimates &Learned, TimePoint Now);
+         const scheduling::RunTimeEstimator &Learned, TimePoint Now);
 
 } // namespace laburnumspread::cell
--- a/src/cell/runstops.h
+++ b/src/cell/runstops.h
@@ -39,7 +39,7 @@
     for (const RunningRow &Item : Reply.Running_)
       noteRunsOn(Row, Item.Run_);
     for (const jobs::RunName &Run :
-         Tracker_->unwanted(Row.Record_.Life_, SentAt))
+         Tracker_->unwanted(Row.Record_.Incarnation_, SentAt))
       send(Run);
     for (const jobs::RunName &Run : Report.Unknown_)
       stopUnknown(Row, Run);
@@ -72,7 +72,7 @@
       const jobs::LiveRun *Live = Term_->Table_.find(Run);
       if (!Live)
         return;
-      const auto Worker = Term_->Workers_.find(Live->On_);
+      const auto Worker = Term_->Workers_.find(Live->Worker_);
       const bool Listed = Worker != Term_->Workers_.end();
       if (!Listed || !Term_->mayOrder())
         return logStopWaits(Run, Listed);
@@ -86,7 +86,7 @@
     framework::log::info("run.stop_waits")
         .field("task", Run.Task_.str())
         .field("run", Run.Run_.value())
-        .field("worker", Term_->Table_.find(Run)->On_.Id_.str())
+        .field("worker", Term_->Table_.find(Run)->Worker_.Id_.str())
         .field("reason", Listed ? "the store does not confirm the leadership"
                                 : "its worker is not listed");
   }
@@ -101,7 +101,7 @@
     framework::log::info("run.stop")
         .field("task", Run.Task_.str())
         .field("run", Run.Run_.value())
-        .field("worker", Row->Record_.Life_.Id_.str())
+        .field("worker", Row->Record_.Incarnation_.Id_.str())
         .field("unwanted_for_ms", Since ? Term_->sinceMs(*Since) : 0)
         .field("result", nameOf(Reply.Result_));
     if (Reply.Result_ == OrderResult::Done)
@@ -119,12 +119,12 @@
     const auto Since = Term_->Table_.unwantedSince(Run);
     jobs::LiveRun *Live = Term_->Table_.findLive(Run);
     if (!Since || now() - *Since < StopExpected ||
-        std::exchange(Live->ToldRunsOn_, true))
+        std::exchange(Live->StillRunningLogged_, true))
       return;
     framework::log::warning("run.runs_on")
         .field("task", Run.Task_.str())
         .field("run", Run.Run_.value())
-        .field("worker", Row.Record_.Life_.Id_.str())
+        .field("worker", Row.Record_.Incarnation_.Id_.str())
         .field("unwanted_for_ms", Term_->sinceMs(*Since))
         .field("job", jobs::nameOf(Term_->Table_.find(Run.Task_.Job_)->State_))
         .field("being_stopped", Live->Stopping_ ? "yes" : "no");
@@ -139,7 +139,7 @@
     framework::log::warning("run.unknown")
         .field("task", Run.Task_.str())
         .field("run", Run.Run_.value())
-        .field("worker", Row.Record_.Life_.Id_.str());
+        .field("worker", Row.Record_.Incarnation_.Id_.str());
     framework::fibers::spawn(
         [Self = this->shared_from_this(), Record = Row.Record_, Run] {
           Self->stopThere(Record, Run, "the journal does not know it there");
@@ -165,7 +165,7 @@
     framework::log::info("run.stop")
         .field("task", Run.Task_.str())
         .field("run", Run.Run_.value())
-        .field("worker", Record.Life_.Id_.str())
+        .field("worker", Record.Incarnation_.Id_.str())
         .field("reason", Reason)
         .field("result", nameOf(Reply.Result_));
     return Reply.Result_ == OrderResult::Done;
--- a/src/cell/runtracker.h
+++ b/src/cell/runtracker.h
@@ -74,16 +74,16 @@
   /// report of the worker misses none. Without those whose stop was answered
   /// less than StopTime before \p AsOf, when the report was asked for: they
   /// may still be listed.
-  std::vector<jobs::RunName> unwanted(const WorkerLife &Worker,
+  std::vector<jobs::RunName> unwanted(const WorkerIncarnation &Worker,
                                       TimePoint AsOf) const;
   /// Whether a stop of the run has been answered.
   bool stopped(const jobs::RunName &Run) const;
   /// Whether a run of a life before \p Worker may still begin.
-  bool haunted(const WorkerLife &Worker) const;
+  bool haunted(const WorkerIncarnation &Worker) const;
 
   /// A worker's report that answers a hold sent at \p SentAt. Ends up to
   /// \p EndsStaged have been taken already. Notes what runs in the table.
-  Report report(const WorkerLife &Worker, const HoldReply &Reply,
+  Report report(const WorkerIncarnation &Worker, const HoldReply &Reply,
                 TimePoint SentAt, std::uint64_t EndsStaged);
 
   /// The run is over and staged as such.
@@ -104,7 +104,7 @@
     std::optional<TimePoint> StoppedLaterAt_;
   };
 
-  void reportFormerLives(const WorkerLife &Worker,
+  void reportFormerLives(const WorkerIncarnation &Worker,
                          const std::set<jobs::RunName> &Listed,
                          TimePoint SentAt, Report &Into) const;
   bool mayBeStopping(const jobs::RunName &Run, TimePoint AsOf) const;
--- a/src/cell/sessions.h
+++ b/src/cell/sessions.h
@@ -65,22 +65,22 @@
       return;
     Term_->endLife(Row, Reason);
     if (!SameId)
-      idOver(Row.Record_.Life_.Id_, Reason);
+      idOver(Row.Record_.Incarnation_.Id_, Reason);
   }
 
   /// No process answers to the id any more: the runs of all its lives are over.
   void idOver(const WorkerId &Id, std::string_view Reason) {
-    std::vector<WorkerLife> Lives;
+    std::vector<WorkerIncarnation> Lives;
     for (const auto &[Life, Use] : Term_->Table_.workers())
       if (Life.Id_ == Id)
         Lives.push_back(Life);
-    for (const WorkerLife &Life : Lives)
+    for (const WorkerIncarnation &Life : Lives)
       loseRuns(Life, Reason);
   }
 
   /// Ends all runs on a worker life that cannot be at work any more.
-  void loseRuns(const WorkerLife &Life, std::string_view Reason) {
-    const jobs::WorkerUse *Use = Term_->Table_.useOf(Life);
+  void loseRuns(const WorkerIncarnation &Life, std::string_view Reason) {
+    const jobs::WorkerUsage *Use = Term_->Table_.usageOf(Life);
     if (!Use)
       return;
     const std::set<jobs::RunName> Runs = Use->Runs_;
@@ -106,7 +106,7 @@
       holdOnce(*Row);
     }
     Client_.forget(Row->Record_);
-    const auto Found = Term_->Workers_.find(Row->Record_.Life_);
+    const auto Found = Term_->Workers_.find(Row->Record_.Incarnation_);
     if (Found != Term_->Workers_.end() && Found->second == Row)
       Term_->Workers_.erase(Found);
   }
@@ -124,7 +124,7 @@
   }
 
   bool inUse(const WorkerRow &Row) const {
-    return Term_->Table_.useOf(Row.Record_.Life_) != nullptr;
+    return Term_->Table_.usageOf(Row.Record_.Incarnation_) != nullptr;
   }
 
   void waitForWake(WorkerRow &Row) {
@@ -164,7 +164,8 @@
   }
 
   bool runsFinite(const WorkerRow &Row) const {
-    const jobs::WorkerUse *Use = Term_->Table_.useOf(Row.Record_.Life_);
+    const jobs::WorkerUsage *Use =
+        Term_->Table_.usageOf(Row.Record_.Incarnation_);
     return Use && std::any_of(Use->Runs_.begin(), Use->Runs_.end(),
                               [&](const jobs::RunName &Run) {
                                 const jobs::StepSpec *Step =
@@ -176,16 +177,16 @@
   void noAnswer(WorkerRow &Row, OrderResult Result) {
     if (++Row.Unanswered_ == 1)
       framework::log::warning("worker.unanswered")
-          .field("worker", Row.Record_.Life_.Id_.str())
+          .field("worker", Row.Record_.Incarnation_.Id_.str())
           .field("result", nameOf(Result))
           .field("last_answer_ms_ago", Row.AnsweredAt_ == TimePoint()
                                            ? NeverAnswered
                                            : Term_->sinceMs(Row.AnsweredAt_));
-    Term_->Table_.forgetProgress(Row.Record_.Life_);
+    Term_->Table_.resetProgress(Row.Record_.Incarnation_);
     if (!Row.surelyLapsed(now(), Term_->inheritedLeaseEnds()))
       return;
     Row.Strays_ = false;
-    loseRuns(Row.Record_.Life_, "lease ran out unseen");
+    loseRuns(Row.Record_.Incarnation_, "lease ran out unseen");
   }
 
   void takeReport(WorkerRow &Row, const HoldReply &Reply,
@@ -194,19 +195,19 @@
     Row.AnsweredAt_ = now();
     if (Row.Unanswered_ > 0)
       framework::log::info("worker.answers_again")
-          .field("worker", Row.Record_.Life_.Id_.str())
+          .field("worker", Row.Record_.Incarnation_.Id_.str())
           .field("unanswered", static_cast<std::uint64_t>(Row.Unanswered_));
     Row.Unanswered_ = 0;
     Row.EndsTold_ = std::max(Row.EndsTold_, Order.LastSeen_);
     for (const EndRow &Item : Reply.Ends_)
       if (Item.Number_ > Row.EndsStaged_)
         learn(Row, Item);
-    const RunTracker::Report Report =
-        Tracker_->report(Row.Record_.Life_, Reply, SentAt, Row.EndsStaged_);
+    const RunTracker::Report Report = Tracker_->report(
+        Row.Record_.Incarnation_, Reply, SentAt, Row.EndsStaged_);
     for (const RunTracker::Ended &Item : Report.Ended_)
       endRun(Item);
     Stops_->follow(Row, Reply, Report, SentAt);
-    Row.Haunted_ = Tracker_->haunted(Row.Record_.Life_);
+    Row.Haunted_ = Tracker_->haunted(Row.Record_.Incarnation_);
     Row.Strays_ = !Report.Unknown_.empty();
     Fillers_.take(Row, Reply);
     if (!Row.Synced_) {
@@ -225,7 +226,7 @@
     if (Last == Row.EndsStaged_)
       return;
     Row.EndsStaged_ = Last;
-    const WorkerRowPtr Kept = Term_->Workers_.at(Row.Record_.Life_);
+    const WorkerRowPtr Kept = Term_->Workers_.at(Row.Record_.Incarnation_);
     auto Ready = std::make_shared<framework::fibers::Waiter>();
     Term_->Commits_.whenStored([Kept, Last, Ready](CommitOutcome Outcome) {
       if (Outcome == CommitOutcome::Stored)
@@ -249,8 +250,8 @@
     if (!Job || !Step || !Live || !Task || Step->LongRunning_ ||
         !Task->Saved_.empty())
       return;
-    Term_->Learned_.note(Job->Spec_.Queue_, Step->Estimate_,
-                         now() - Live->StartedAt_);
+    Term_->Learned_.recordRun(Job->Spec_.Queue_, Step->Estimate_,
+                              now() - Live->StartedAt_);
   }
 
   void endRun(const RunTracker::Ended &Item) {
@@ -261,7 +262,7 @@
     framework::log::info("run.ended")
         .field("task", Run.Task_.str())
         .field("run", Run.Run_.value())
-        .field("worker", Live->On_.Id_.str())
+        .field("worker", Live->Worker_.Id_.str())
         .field("how", jobs::nameOf(Item.Kind_))
         .field("after_ms", Term_->sinceMs(Live->StartedAt_))
         .field("by", Item.Reason_);
@@ -283,7 +284,7 @@
   void jobEnded(const jobs::JobRow &Job, const jobs::TaskName &Last) {
     const QueueConfig *Queue = Term_->Config_.find(Job.Spec_.Queue_);
     const bool Late =
-        Queue && now() > scheduling::dueAt(Job, *Queue, Term_->Learned_);
+        Queue && now() > scheduling::deadlineOf(Job, *Queue, Term_->Learned_);
     const jobs::TaskRow *Task = Term_->Table_.find(Last);
     Term_->Metrics_
         .counter("jobs_ended_total{state=\"" +
@@ -335,7 +336,7 @@
 private:
   void startRun(const jobs::RunIntended &Item) {
     const jobs::RunName &Run = Item.Run_;
-    const auto Worker = Term_->Workers_.find(Item.On_);
+    const auto Worker = Term_->Workers_.find(Item.Worker_);
     const jobs::JobRow *Job = Term_->Table_.find(Run.Task_.Job_);
     const jobs::LiveRun *Live = Term_->Table_.find(Run);
     if (Term_->over() || !Live)
@@ -354,7 +355,7 @@
     Order.Ticket_ =
         Term_->Advised_
             .ticket({Run.Task_.Job_, Run.Task_.Occurrence_, Run.Task_.Step_},
-                    Item.On_.Id_, now())
+                    Item.Worker_.Id_, now())
             .value_or("");
     if (Run.Run_ == jobs::RunNumber(1))
       Term_->Metrics_.histogram("task_first_start_seconds")
@@ -400,7 +401,7 @@
     const scheduling::StepName Step{Run.Task_.Job_, Run.Task_.Occurrence_,
                                     Run.Task_.Step_};
     if (Reply.Result_ == OrderResult::BadTicket)
-      Term_->Advised_.refused(Step, Row.Record_.Life_.Id_);
+      Term_->Advised_.recordRefusal(Step, Row.Record_.Incarnation_.Id_);
     if (Reply.Result_ == OrderResult::NoRoom)
       Row.Distrust_ += DistrustOfFailure;
     if (Ended)
@@ -413,7 +414,7 @@
     framework::log::info("run.start")
         .field("task", Order.Run_.Task_.str())
         .field("run", Order.Run_.Run_.value())
-        .field("worker", Row.Record_.Life_.Id_.str())
+        .field("worker", Row.Record_.Incarnation_.Id_.str())
         .field("attempt", Attempt + 1)
         .field("result", nameOf(Reply.Result_));
   }
--- a/src/cell/term.h
+++ b/src/cell/term.h
@@ -5,7 +5,7 @@
 #include "cell/workertable.h"
 #include "framework/metrics/metrics.h"
 #include "scheduling/advicetable.h"
-#include "scheduling/estimates.h"
+#include "scheduling/runtimeestimator.h"
 
 namespace laburnumspread::cell {
 
@@ -16,7 +16,7 @@
   Term(Store &S, const journal::CellKeys &Keys,
        journal::Leadership<Store> &Lead, framework::metrics::Registry &Metrics,
        CellBounds Bounds)
-      : Lead_(Lead), Reign_(Lead.reign()), Token_(Lead.token()),
+      : Lead_(Lead), Reign_(Lead.term()), Token_(Lead.token()),
         Log_(S, Keys, Lead), Commits_(Table_, Log_, Metrics), Metrics_(Metrics),
         Bounds_(Bounds), BegunAt_(now()) {}
 
@@ -32,10 +32,10 @@
   void endLife(WorkerRow &Row, std::string_view Reason) {
     if (std::exchange(Row.Over_, true))
       return;
-    EndedLives_.emplace(Row.Record_.Life_, now());
+    EndedLives_.emplace(Row.Record_.Incarnation_, now());
     framework::log::info("worker.over")
-        .field("worker", Row.Record_.Life_.Id_.str())
-        .field("born_ms", Row.Record_.Life_.BornMs_)
+        .field("worker", Row.Record_.Incarnation_.Id_.str())
+        .field("born_ms", Row.Record_.Incarnation_.StartedMs_)
         .field("reason", Reason);
     Row.wake();
   }
@@ -78,7 +78,7 @@
   }
 
   journal::Leadership<Store> &Lead_;
-  journal::Reign Reign_;
+  journal::TermNumber Reign_;
   /// Rises when the head is written anew under this leadership.
   jobs::FencingToken Token_;
   jobs::CellTable Table_;
@@ -87,9 +87,9 @@
   WorkerTable Workers_;
   /// Lives that are over, and since when. Their entries may stay listed for
   /// some seconds.
-  std::map<WorkerLife, TimePoint> EndedLives_;
+  std::map<WorkerIncarnation, TimePoint> EndedLives_;
   CellConfig Config_;
-  scheduling::Estimates Learned_;
+  scheduling::RunTimeEstimator Learned_;
   scheduling::AdviceTable Advised_;
   framework::metrics::Registry &Metrics_;
   CellBounds Bounds_;
--- a/src/cell/tests/callfatetest.cpp
+++ b/src/cell/tests/callfatetest.cpp
@@ -33,9 +33,9 @@
 // order in again.
 BOOST_AUTO_TEST_CASE(CallWithoutTimeLeftIsNotTaken) {
   CallRouter Router({[](const peers::JobCall &, const CallRouter::ReplyFn &) {},
-                     [] { return false; }, [] { return journal::Holder(); },
-                     [](const journal::Holder &) { return false; },
-                     [](const journal::Holder &, const peers::JobCall &) {}});
+                     [] { return false; }, [] { return journal::Leader(); },
+                     [](const journal::Leader &) { return false; },
+                     [](const journal::Leader &, const peers::JobCall &) {}});
   const TimePoint Past = framework::clock::SteadyClock().now();
   const peers::JobReply Reply = Router.call({}, Past, Past);
   BOOST_TEST((Reply.Verdict_ == peers::JobVerdict::Refused));
--- a/src/cell/tests/commitqueuetest.cpp
+++ b/src/cell/tests/commitqueuetest.cpp
@@ -53,7 +53,7 @@
 
   FakeStore Store_;
   framework::metrics::Registry Metrics_;
-  journal::Leadership<FakeStore> Lead_{Store_, Keys, journal::Holder()};
+  journal::Leadership<FakeStore> Lead_{Store_, Keys, journal::Leader()};
   std::optional<Term<FakeStore>> Term_;
   std::uint64_t LastRun_ = 0;
 };
--- a/src/cell/tests/fillerpacetest.cpp
+++ b/src/cell/tests/fillerpacetest.cpp
@@ -45,7 +45,7 @@
 /// A holder with a worker on which a filling and a serving task run.
 struct Fixture {
   Fixture()
-      : Lead_(Store_, Keys, journal::Holder()),
+      : Lead_(Store_, Keys, journal::Leader()),
         Term_(std::make_shared<Term<FakeStore>>(Store_, Keys, Lead_, Metrics_,
                                                 CellBounds())),
         Fillers_(Term_, Client_) {
@@ -84,7 +84,7 @@
 // took a pace that it did not know for the full one, and sent nothing.
 BOOST_AUTO_TEST_CASE(PaceThatAFormerHolderSetIsSetAnew) {
   report(FarBelow);
-  BOOST_TEST(Client_.Sent_ == std::vector<int>{scheduling::Pacer::Full});
+  BOOST_TEST(Client_.Sent_ == std::vector<int>{scheduling::Pacer::FullPercent});
   report(FarBelow);
   BOOST_TEST(Client_.Sent_.size() == 1u);
 }
@@ -94,13 +94,14 @@
 BOOST_AUTO_TEST_CASE(LastRaiseIsSentUntilItIsAnswered) {
   report(Over);
   Client_.Answer_ = OrderResult::Unknown;
-  for (int Percent = scheduling::Pacer::Full / 2;
-       Percent < scheduling::Pacer::Full; Percent += scheduling::Pacer::Raise)
+  for (int Percent = scheduling::Pacer::FullPercent / 2;
+       Percent < scheduling::Pacer::FullPercent;
+       Percent += scheduling::Pacer::RaisePercent)
     report(FarBelow);
   Client_.Answer_ = OrderResult::Done;
   Client_.Sent_.clear();
   report(FarBelow);
-  BOOST_TEST(Client_.Sent_ == std::vector<int>{scheduling::Pacer::Full});
+  BOOST_TEST(Client_.Sent_ == std::vector<int>{scheduling::Pacer::FullPercent});
 }
 
 /// Each order is paid for: a run of this holder's own begins at the full pace
@@ -110,7 +111,8 @@
   report(FarBelow);
   BOOST_TEST(Client_.Sent_.empty());
   report(Over);
-  BOOST_TEST(Client_.Sent_ == std::vector<int>{scheduling::Pacer::Full / 2});
+  BOOST_TEST(Client_.Sent_ ==
+             std::vector<int>{scheduling::Pacer::FullPercent / 2});
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/cell/tests/machinestest.cpp
+++ b/src/cell/tests/machinestest.cpp
@@ -103,11 +103,11 @@
 
   /// The machine's worker comes up, and its first answer is lost.
   void comeUp() {
-    Row_->Record_.Life_ = {WorkerId("w1"), 1};
+    Row_->Record_.Incarnation_ = {WorkerId("w1"), 1};
     Row_->Record_.Machine_ = Machine;
     Row_->ListedAt_ = Term<FakeStore>::now();
     Row_->Unanswered_ = 1;
-    Term_->Workers_[Row_->Record_.Life_] = Row_;
+    Term_->Workers_[Row_->Record_.Incarnation_] = Row_;
     Tested_->noteWorker(Row_->Record_);
   }
 
@@ -119,7 +119,7 @@
     Term_->Commits_.stage(Job);
     jobs::RunIntended Start;
     Start.Run_ = {{Job.Spec_.Id_, 0, 0, 0}, jobs::RunNumber(1)};
-    Start.On_ = Row_->Record_.Life_;
+    Start.Worker_ = Row_->Record_.Incarnation_;
     Term_->Commits_.stage(Start);
   }
 
@@ -144,7 +144,7 @@
   SilentClient Client_;
   FakeMachines Api_;
   framework::metrics::Registry Metrics_;
-  journal::Leadership<FakeStore> Lead_{Store_, Keys, journal::Holder()};
+  journal::Leadership<FakeStore> Lead_{Store_, Keys, journal::Leader()};
   std::shared_ptr<Term<FakeStore>> Term_;
   std::shared_ptr<Sessions<FakeStore, SilentClient>> Talks_;
   std::shared_ptr<TestedMachines> Tested_;
@@ -203,7 +203,7 @@
   while (Api_.Lists_ < Before + 3)
     framework::fibers::sleepFor(TestedMachines::PlanEvery);
   BOOST_TEST(!Row_->Over_);
-  BOOST_TEST(Term_->Table_.useOf(Row_->Record_.Life_));
+  BOOST_TEST(Term_->Table_.usageOf(Row_->Record_.Incarnation_));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/cell/tests/machinetabletest.cpp
+++ b/src/cell/tests/machinetabletest.cpp
@@ -13,7 +13,7 @@
 
 WorkerRecord worker(std::int64_t BornMs) {
   WorkerRecord Record;
-  Record.Life_ = {WorkerId("w" + std::to_string(BornMs)), BornMs};
+  Record.Incarnation_ = {WorkerId("w" + std::to_string(BornMs)), BornMs};
   Record.Machine_ = Machine;
   Record.Pool_ = PoolName("pool");
   return Record;
@@ -64,7 +64,7 @@
   Table.acknowledged(Machine, Start + 10ms);
   Table.noteWorker(worker(2), Start + 300ms);
   BOOST_TEST(Table.busy(Machine));
-  BOOST_TEST((Table.lifeOrdered(Machine) == worker(2).Life_));
+  BOOST_TEST((Table.lifeOrdered(Machine) == worker(2).Incarnation_));
   Table.noteWorker(worker(3), Start + 2000ms);
   BOOST_TEST(!Table.busy(Machine));
 }
@@ -123,14 +123,14 @@
   MachineTable Table(1500ms);
   BOOST_TEST(!Table.saysGone(worker(1)));
   MachineRecord Up = listed(MachineState::Up);
-  Up.Worker_ = worker(1).Life_.Id_;
+  Up.Worker_ = worker(1).Incarnation_.Id_;
   Table.takeList({Up}, Start);
   BOOST_TEST(!Table.saysGone(worker(1)));
-  BOOST_TEST(Table.listsWorker(worker(1).Life_.Id_));
+  BOOST_TEST(Table.listsWorker(worker(1).Incarnation_.Id_));
   BOOST_TEST(Table.saysGone(worker(2)));
   Table.takeList({listed(MachineState::Down)}, Start);
   BOOST_TEST(Table.saysGone(worker(1)));
-  BOOST_TEST(!Table.listsWorker(worker(1).Life_.Id_));
+  BOOST_TEST(!Table.listsWorker(worker(1).Incarnation_.Id_));
   Table.takeList({}, Start);
   BOOST_TEST(Table.saysGone(worker(1)));
 }
@@ -143,10 +143,11 @@
   Table.noteWorker(worker(1), Start);
   Table.ordered(Machine, 1500ms, Start);
   BOOST_TEST(Table.orderedAway(Start + 2s).empty());
-  BOOST_TEST((Table.lifeOrdered(Machine) == worker(1).Life_));
+  BOOST_TEST((Table.lifeOrdered(Machine) == worker(1).Incarnation_));
   Table.acknowledged(Machine, Start + 1s);
   BOOST_TEST(Table.orderedAway(Start + 1s).empty());
-  BOOST_TEST((Table.orderedAway(Start + 2s) == std::set{worker(1).Life_}));
+  BOOST_TEST(
+      (Table.orderedAway(Start + 2s) == std::set{worker(1).Incarnation_}));
   Table.noteWorker(worker(2), Start + 3s);
   Table.acknowledged(Machine, Start + 4s);
   BOOST_TEST(Table.orderedAway(Start + 5s).empty());
--- a/src/cell/tests/modelworker.h
+++ b/src/cell/tests/modelworker.h
@@ -18,7 +18,7 @@
 /// A worker as the platform describes it.
 struct ModelWorker {
   WorkerId Id_;
-  std::int64_t BornMs_ = 1;
+  std::int64_t StartedMs_ = 1;
   TimePoint BornAt_{};
   double Rate_ = 1;
   FencingToken Token_;
@@ -50,7 +50,7 @@
       return;
     const auto All = Running_;
     for (const RunName &Run : All)
-      end(Run, EndKind::Lapsed);
+      end(Run, EndKind::LeaseExpired);
   }
   void extend(std::int64_t DeadlineMs, TimePoint Now) {
     const std::int64_t Most = clockMs(Now) + Lease.count();
@@ -98,7 +98,7 @@
     if (Order.DeadlineMs_ > 0)
       extend(Order.DeadlineMs_, Now);
     Reply.Result_ =
-        Born == BornMs_ ? OrderResult::Done : OrderResult::OtherLife;
+        Born == StartedMs_ ? OrderResult::Done : OrderResult::OtherLife;
     std::erase_if(Ends_, [&](const EndRow &Row) {
       return Row.Number_ <= Order.LastSeen_;
     });
@@ -111,7 +111,7 @@
   void restart(TimePoint Now) {
     ModelWorker Fresh;
     Fresh.Id_ = Id_;
-    Fresh.BornMs_ = BornMs_ + 1;
+    Fresh.StartedMs_ = StartedMs_ + 1;
     Fresh.BornAt_ = Now;
     Fresh.Rate_ = Rate_;
     *this = Fresh;
--- a/src/cell/tests/pooldemandtest.cpp
+++ b/src/cell/tests/pooldemandtest.cpp
@@ -18,14 +18,14 @@
     QueueConfig Queue;
     Queue.Name_ = QueueName("orders");
     Queue.Pool_ = Kitchen;
-    Queue.AimLatency_ = std::chrono::hours(1);
+    Queue.TargetLatency_ = std::chrono::hours(1);
     Config_.Queues_ = {Queue};
   }
 
   static jobs::StepSpec step(std::uint32_t Count) {
     jobs::StepSpec Result;
     Result.Count_ = Count;
-    Result.Each_.MilliCpus_ = Each;
+    Result.PerTask_.MilliCpus_ = Each;
     return Result;
   }
 
@@ -44,7 +44,7 @@
 
   jobs::CellTable Table_;
   CellConfig Config_;
-  scheduling::Estimates Learned_;
+  scheduling::RunTimeEstimator Learned_;
 };
 
 } // namespace
@@ -56,36 +56,36 @@
   Standing.LongRunning_ = true;
   accept("a", {Standing});
   accept("b", {step(2)});
-  BOOST_TEST(demand(10min).Standing_.MilliCpus_ == 3 * Each);
-  BOOST_TEST(demand(10min).Timely_.MilliCpus_ == 2 * Each);
-  BOOST_TEST(demand(24h).Standing_.MilliCpus_ == 3 * Each);
-  BOOST_TEST(demand(24h).Timely_.MilliCpus_ == 0);
+  BOOST_TEST(demand(10min).LongRunning_.MilliCpus_ == 3 * Each);
+  BOOST_TEST(demand(10min).FeasibleFinite_.MilliCpus_ == 2 * Each);
+  BOOST_TEST(demand(24h).LongRunning_.MilliCpus_ == 3 * Each);
+  BOOST_TEST(demand(24h).FeasibleFinite_.MilliCpus_ == 0);
 }
 
 BOOST_AUTO_TEST_CASE(MemoryIsAskedForToo) {
   jobs::StepSpec Standing = step(3);
   Standing.LongRunning_ = true;
-  Standing.Each_.MemoryMb_ = 4000;
+  Standing.PerTask_.MemoryMb_ = 4000;
   accept("a", {Standing});
-  BOOST_TEST(demand(0s).Standing_.MemoryMb_ == 12000);
+  BOOST_TEST(demand(0s).LongRunning_.MemoryMb_ == 12000);
 }
 
 BOOST_AUTO_TEST_CASE(RoomForEachTaskThatLastsAndWaits) {
   jobs::StepSpec Wide = step(1), Deep = step(1), Finite = step(1);
   Wide.LongRunning_ = Deep.LongRunning_ = true;
-  Wide.Each_ = {4000, 100, 0};
-  Deep.Each_ = {1000, 900, 0};
-  Finite.Each_ = {9000, 9000, 0};
+  Wide.PerTask_ = {4000, 100, 0};
+  Deep.PerTask_ = {1000, 900, 0};
+  Finite.PerTask_ = {9000, 9000, 0};
   accept("a", {Wide});
   accept("b", {Deep});
   accept("c", {Finite});
   const jobs::Resources Both{4000, 900, 0};
-  BOOST_TEST((demand(0s).WaitingStanding_ == Both));
+  BOOST_TEST((demand(0s).WaitingLongRunning_ == Both));
   jobs::RunIntended Start1;
   Start1.Run_ = {{jobs::JobId("a"), 0, 0, 0}, jobs::RunNumber(1)};
-  Start1.On_ = {jobs::WorkerId("w"), 1};
+  Start1.Worker_ = {jobs::WorkerId("w"), 1};
   Table_.apply(Start1, Start);
-  BOOST_TEST((demand(0s).WaitingStanding_ == Deep.Each_));
+  BOOST_TEST((demand(0s).WaitingLongRunning_ == Deep.PerTask_));
 }
 
 BOOST_AUTO_TEST_CASE(FillersAndStepsThatWaitAskForNothing) {
@@ -94,7 +94,7 @@
   jobs::StepSpec Second = step(5);
   Second.After_ = {0};
   accept("a", {step(1), Second, Filler});
-  BOOST_TEST(demand(10min).Timely_.MilliCpus_ == Each);
+  BOOST_TEST(demand(10min).FeasibleFinite_.MilliCpus_ == Each);
 }
 
 BOOST_AUTO_TEST_CASE(JobsOfARemovedQueueAskForNothing) {
@@ -110,11 +110,11 @@
     Small.Estimate_ = 1s;
     accept("j" + std::to_string(I), {Small});
   }
-  BOOST_TEST(demand(0s).Coming_.likely() > 0);
-  BOOST_TEST(demand(0s).CameBefore_.likely() == 0);
-  BOOST_TEST(demand(InflowWindow).Coming_.likely() == 0);
-  BOOST_TEST(demand(InflowWindow).CameBefore_.likely() > 0);
-  BOOST_TEST(demand(2 * InflowWindow).CameBefore_.likely() == 0);
+  BOOST_TEST(demand(0s).RecentArrivals_.lowerEstimate() > 0);
+  BOOST_TEST(demand(0s).PriorArrivals_.lowerEstimate() == 0);
+  BOOST_TEST(demand(InflowWindow).RecentArrivals_.lowerEstimate() == 0);
+  BOOST_TEST(demand(InflowWindow).PriorArrivals_.lowerEstimate() > 0);
+  BOOST_TEST(demand(2 * InflowWindow).PriorArrivals_.lowerEstimate() == 0);
 }
 
 // Short jobs that are done before the next look still tell how fast work comes
@@ -134,11 +134,11 @@
     End("j" + std::to_string(I), jobs::EndKind::Done);
   }
   BOOST_TEST(Table_.open().empty());
-  const std::int64_t Done = demand(0s).Coming_.likely();
+  const std::int64_t Done = demand(0s).RecentArrivals_.lowerEstimate();
   BOOST_TEST(Done > 0);
   accept("c", {Small});
   Table_.apply(jobs::JobCancelled{jobs::JobId("c")}, Start);
-  BOOST_TEST(demand(0s).Coming_.likely() == Done);
+  BOOST_TEST(demand(0s).RecentArrivals_.lowerEstimate() == Done);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/cell/tests/runmodel.h
+++ b/src/cell/tests/runmodel.h
@@ -62,7 +62,7 @@
   RunTracker Tracker_;
   /// Empty where no worker is known.
   std::array<WorkerRowPtr, WorkerCount> Rows_;
-  std::set<WorkerLife> EndedLives_;
+  std::set<WorkerIncarnation> EndedLives_;
   /// Runs with a stop that has neither been answered nor given up.
   std::set<RunName> StopsOnWay_;
   bool Active_ = true;
@@ -232,7 +232,7 @@
     Holders_.push_back(Holder);
     for (std::size_t I = 0; I < WorkerCount; ++I)
       if ((Listed >> I) % 2 == 1)
-        list(*Holder, I, Workers_[I].BornMs_);
+        list(*Holder, I, Workers_[I].StartedMs_);
     for (const auto &[Id, Job] : Holder->Table_.jobs())
       if (Job.ended() && Job.LiveRuns_ > 0)
         stopJob(Holder, Id);
@@ -245,29 +245,29 @@
     if (What == 0)
       return unlist(*Holder, I);
     // The entry of a former life may stay for some seconds.
-    list(*Holder, I, Workers_[I].BornMs_ - (What == 1 ? 1 : 0));
+    list(*Holder, I, Workers_[I].StartedMs_ - (What == 1 ? 1 : 0));
   }
 
   void list(ModelHolder &Holder, std::size_t I, std::int64_t Born) {
-    const WorkerLife Life{Workers_[I].Id_, Born};
+    const WorkerIncarnation Life{Workers_[I].Id_, Born};
     WorkerRowPtr &Row = Holder.Rows_[I];
     if (Born < 1 || Holder.EndedLives_.contains(Life) ||
-        (Row && Row->Record_.Life_.BornMs_ > Born))
+        (Row && Row->Record_.Incarnation_.StartedMs_ > Born))
       return;
-    if (Row && Row->Record_.Life_ == Life) {
+    if (Row && Row->Record_.Incarnation_ == Life) {
       Row->Listed_ = true;
       return;
     }
     if (Row)
       lifeOver(Holder, *Row);
     Row = std::make_shared<WorkerRow>();
-    Row->Record_.Life_ = Life;
+    Row->Record_.Incarnation_ = Life;
     Row->ClockAt_ = Now_;
   }
 
   void listAll(ModelHolder &Holder) {
     for (std::size_t I = 0; I < WorkerCount; ++I)
-      list(Holder, I, Workers_[I].BornMs_);
+      list(Holder, I, Workers_[I].StartedMs_);
   }
 
   /// The row goes with the last reason to ask the worker.
@@ -282,14 +282,14 @@
 
   static void lifeOver(ModelHolder &Holder, WorkerRow &Row) {
     Row.Over_ = true;
-    Holder.EndedLives_.insert(Row.Record_.Life_);
+    Holder.EndedLives_.insert(Row.Record_.Incarnation_);
   }
 
   static bool needsHold(const ModelHolder &Holder, const WorkerRow &Row) {
     const bool FellSilent = Row.Listed_ && Row.Unanswered_ > 0;
     return !Row.Synced_ || Row.Haunted_ || FellSilent ||
            Row.EndsStored_ > Row.EndsTold_ ||
-           Holder.Table_.useOf(Row.Record_.Life_) != nullptr;
+           Holder.Table_.usageOf(Row.Record_.Incarnation_) != nullptr;
   }
 
   /// Commits events, or ends the holder.
@@ -314,7 +314,8 @@
     const WorkerRowPtr Row = Holder->Rows_[I];
     if (!Row || !Row->usable())
       return;
-    const jobs::WorkerUse *Use = Holder->Table_.useOf(Row->Record_.Life_);
+    const jobs::WorkerUsage *Use =
+        Holder->Table_.usageOf(Row->Record_.Incarnation_);
     if (Use && !(Use->Used_ + Room).fitsInto(Room))
       return;
     if (Holder->Table_.open().size() < OpenJobs && !acceptJob(*Holder))
@@ -324,7 +325,7 @@
       return;
     jobs::RunIntended Item;
     Item.Run_ = {*Task, Holder->Table_.find(*Task)->LastRun_.next()};
-    Item.On_ = Row->Record_.Life_;
+    Item.Worker_ = Row->Record_.Incarnation_;
     Holder->Tracker_.staged(Item.Run_);
     if (commit(*Holder, {Item}))
       sendStart(Holder, Row, Item.Run_);
@@ -335,7 +336,7 @@
     Item.Spec_.Id_ = JobId("j" + std::to_string(Holder.Table_.jobs().size()));
     Item.Spec_.Steps_.resize(1);
     Item.Spec_.Steps_[0].Count_ = TaskCount;
-    Item.Spec_.Steps_[0].Each_ = Room;
+    Item.Spec_.Steps_[0].PerTask_ = Room;
     return commit(Holder, {Item});
   }
 
@@ -361,9 +362,9 @@
 
   void send(const HolderPtr &Holder, const WorkerRowPtr &Row, MessagePtr Item) {
     Item->From_ = Holder;
-    Item->To_ = Row->Record_.Life_.Id_ == Workers_[0].Id_ ? 0 : 1;
+    Item->To_ = Row->Record_.Incarnation_.Id_ == Workers_[0].Id_ ? 0 : 1;
     Item->Row_ = Row;
-    Item->Born_ = Row->Record_.Life_.BornMs_;
+    Item->Born_ = Row->Record_.Incarnation_.StartedMs_;
     Item->SentAt_ = Now_;
     Messages_.push_back(std::move(Item));
   }
@@ -392,7 +393,7 @@
     const WorkerRowPtr Row = Holder->Rows_[pick(Detail, WorkerCount)];
     if (!Row || !Holder->mayOrder(Now_))
       return;
-    if (const auto *Use = Holder->Table_.useOf(Row->Record_.Life_))
+    if (const auto *Use = Holder->Table_.usageOf(Row->Record_.Incarnation_))
       stop(Holder, *Use->Runs_.begin());
   }
 
@@ -429,7 +430,7 @@
       return;
     Live->Stopping_ = true;
     for (const WorkerRowPtr &Row : Holder->Rows_)
-      if (Row && Row->Record_.Life_ == Live->On_)
+      if (Row && Row->Record_.Incarnation_ == Live->Worker_)
         sendStopOnce(Holder, Row, Run);
   }
 
@@ -464,7 +465,7 @@
   /// connections; what is sent later, still for the former life, arrives soon.
   bool arrives(const Message &Item) const {
     const ModelWorker &Worker = Workers_[Item.To_];
-    return Item.Born_ == Worker.BornMs_ ||
+    return Item.Born_ == Worker.StartedMs_ ||
            (Item.SentAt_ > Worker.BornAt_ &&
             Now_ - Item.SentAt_ <= OrderTransit);
   }
@@ -580,7 +581,7 @@
     Row.EndsTold_ = std::max(Row.EndsTold_, Item.Hold_.LastSeen_);
     if (!Row.Synced_)
       Row.noteSynced(Now_, Lease);
-    const auto Report = Holder.Tracker_.report(Row.Record_.Life_, Reply,
+    const auto Report = Holder.Tracker_.report(Row.Record_.Incarnation_, Reply,
                                                Item.SentAt_, Row.EndsStaged_);
     if (!endRuns(From, Report.Ended_))
       return;
@@ -589,9 +590,9 @@
     for (const RunName &Run : Report.Haunting_)
       sendStop(From, Item.Row_, Run, Message::Kind::StopLater);
     for (const RunName &Run :
-         Holder.Tracker_.unwanted(Row.Record_.Life_, Item.SentAt_))
+         Holder.Tracker_.unwanted(Row.Record_.Incarnation_, Item.SentAt_))
       sendStopOnce(From, Item.Row_, Run);
-    Row.Haunted_ = Holder.Tracker_.haunted(Row.Record_.Life_);
+    Row.Haunted_ = Holder.Tracker_.haunted(Row.Record_.Incarnation_);
     for (const EndRow &End : Reply.Ends_)
       Row.EndsStaged_ = std::max(Row.EndsStaged_, End.Number_);
     Row.EndsStored_ = Row.EndsStaged_;
@@ -618,8 +619,8 @@
     return true;
   }
 
-  void loseRuns(const HolderPtr &Holder, const WorkerLife &Life) {
-    const jobs::WorkerUse *Use = Holder->Table_.useOf(Life);
+  void loseRuns(const HolderPtr &Holder, const WorkerIncarnation &Life) {
+    const jobs::WorkerUsage *Use = Holder->Table_.usageOf(Life);
     if (!Use)
       return;
     std::vector<RunTracker::Ended> Ended;
@@ -647,7 +648,7 @@
     if (Item->Kind_ == Message::Kind::Hold) {
       ++Row.Unanswered_;
       if (Row.surelyLapsed(Now_, inheritedLeaseEnds(Holder.BegunAt_, Lease)))
-        loseRuns(Item->From_, Row.Record_.Life_);
+        loseRuns(Item->From_, Row.Record_.Incarnation_);
       return;
     }
     // Attempts follow each other within the window of the start.
@@ -670,7 +671,7 @@
     Holder->ConfirmedAt_ = Now_;
     for (std::size_t I = 0; I < WorkerCount; ++I)
       if (Tick >= (Detail << I) % MostTicksToList)
-        list(*Holder, I, Workers_[I].BornMs_);
+        list(*Holder, I, Workers_[I].StartedMs_);
     bringMessagesOn();
     for (std::size_t I = 0; I < WorkerCount; ++I)
       if (const WorkerRowPtr Row = Holder->Rows_[I];
--- a/src/cell/tests/runtrackertest.cpp
+++ b/src/cell/tests/runtrackertest.cpp
@@ -11,9 +11,9 @@
 using jobs::RunNumber;
 
 const TimePoint Now(std::chrono::hours(1));
-const WorkerLife Here{WorkerId("w"), 2};
-const WorkerLife Former{WorkerId("w"), 1};
-const WorkerLife Elsewhere{WorkerId("x"), 2};
+const WorkerIncarnation Here{WorkerId("w"), 2};
+const WorkerIncarnation Former{WorkerId("w"), 1};
+const WorkerIncarnation Elsewhere{WorkerId("x"), 2};
 
 /// Two jobs of two tasks, and the runs that a holder has read of them.
 struct Fixture {
@@ -31,7 +31,7 @@
   }
 
   RunName begin(const std::string &Job, std::uint32_t Task,
-                const WorkerLife &On) {
+                const WorkerIncarnation &On) {
     const RunName Run{{JobId(Job), 0, 0, Task}, RunNumber(1)};
     Table_.apply(jobs::RunIntended{Run, On}, Now);
     return Run;
@@ -42,7 +42,7 @@
   }
 
   /// By a report that answers a hold sent at \p SentAt.
-  std::vector<RunName> unwanted(const WorkerLife &Worker,
+  std::vector<RunName> unwanted(const WorkerIncarnation &Worker,
                                 TimePoint SentAt = Now +
                                                    RunTracker::StopTime) const {
     return Tracker_.unwanted(Worker, SentAt);
--- a/src/cell/workertable.h
+++ b/src/cell/workertable.h
@@ -190,6 +190,6 @@
 };
 
 using WorkerRowPtr = std::shared_ptr<WorkerRow>;
-using WorkerTable = std::map<WorkerLife, WorkerRowPtr>;
+using WorkerTable = std::map<WorkerIncarnation, WorkerRowPtr>;
 
 } // namespace laburnumspread::cell
--- a/src/jobs/cellconfig.h
+++ b/src/jobs/cellconfig.h
@@ -14,9 +14,9 @@
 
 /// What the advisor of a queue costs, and how long its word holds.
 struct AdviceTerms {
-  Duration Decide_{};
-  Duration EachWorker_{};
-  Duration Valid_{};
+  Duration DecisionTime_{};
+  Duration TimePerWorker_{};
+  Duration ValidFor_{};
 };
 
 struct QueueConfig {
@@ -28,9 +28,9 @@
   std::int64_t Priority_ = 0;
   std::uint32_t MaxAttempts_ = 3;
   /// A job is in time within this many times its longest chain of work and
-  /// AimLatency_ more.
+  /// TargetLatency_ more.
   double Stretch_ = 1;
-  Duration AimLatency_{};
+  Duration TargetLatency_{};
   bool Public_ = false;
   std::optional<AdviceTerms> Advice_;
 };
--- a/src/jobs/celltable.h
+++ b/src/jobs/celltable.h
@@ -15,14 +15,14 @@
 /// A run that may still be at work somewhere.
 struct LiveRun {
   RunNumber Run_;
-  WorkerLife On_;
+  WorkerIncarnation Worker_;
   /// Whether the worker has confirmed the start, or listed the run.
   bool Confirmed_ = false;
   /// Whether it is to be stopped, and since when by this process's clock.
   bool Stopping_ = false;
   TimePoint StoppingSince_{};
   /// Whether the log tells that it is at work though it is to be stopped.
-  bool ToldRunsOn_ = false;
+  bool StillRunningLogged_ = false;
   /// Share of full speed at which the worker says it works, in percent.
   int Percent_ = 0;
   TimePoint StartedAt_{};
@@ -77,16 +77,16 @@
 /// Orders for a machine, over all holders.
 struct MachineOrderRow {
   /// The pool from which it was first taken.
-  fleet::PoolName Home_;
+  fleet::PoolName HomePool_;
   /// Least time that has passed since the last order left, as far as the
   /// journal tells.
-  Duration Quiet_{};
+  Duration SinceLastOrder_{};
   /// The order may not have left yet when the last entry was written.
-  bool Leaving_ = true;
+  bool SendUnconfirmed_ = true;
 };
 
 /// What a worker has been given.
-struct WorkerUse {
+struct WorkerUsage {
   Resources Used_;
   std::set<RunName> Runs_;
 };
@@ -110,7 +110,7 @@
   /// that counts a failed run by the limit of its own time tells another state
   /// of the job than callers have heard. The limit in the event is enough, as
   /// nothing else that an event does depends on the configuration.
-  void complete(Event &Item) const;
+  void recordAttemptLimit(Event &Item) const;
 
   const JobRow *find(const JobId &Job) const;
   const TaskRow *find(const TaskName &Task) const;
@@ -124,8 +124,10 @@
   /// Jobs that have ended at \p Since or later and are not forgotten.
   std::vector<JobId> endedSince(TimePoint Since) const;
   const std::map<JobId, JobRow> &jobs() const { return Jobs_; }
-  const std::map<WorkerLife, WorkerUse> &workers() const { return Workers_; }
-  const WorkerUse *useOf(const WorkerLife &Worker) const;
+  const std::map<WorkerIncarnation, WorkerUsage> &workers() const {
+    return Workers_;
+  }
+  const WorkerUsage *usageOf(const WorkerIncarnation &Worker) const;
   /// Since when a live run is to be gone: its job has ended, or it is being
   /// stopped for another reason. Empty when it is wanted, or not live.
   std::optional<TimePoint> unwantedSince(const RunName &Run) const;
@@ -144,7 +146,7 @@
     return MachineOrders_;
   }
   /// While the journal is read: time that passed before the next entry.
-  void passTime(Duration Passed);
+  void advanceTime(Duration Passed);
 
   /// Forgets jobs that ended before \p Before and have nothing live.
   void forgetEnded(TimePoint Before);
@@ -153,18 +155,18 @@
   void restore(JobRow Row, TimePoint Now);
 
   /// The worker does not answer: what it said of its runs' progress is old.
-  void forgetProgress(const WorkerLife &Worker);
+  void resetProgress(const WorkerIncarnation &Worker);
 
   /// Sets the age of open jobs after a replay, from the wall clock.
-  void setAges(std::int64_t WallMs, TimePoint Now);
+  void restoreAcceptTimes(std::int64_t WallMs, TimePoint Now);
 
 private:
-  void take(const JobAccepted &Item, TimePoint Now);
-  void take(const RunIntended &Item, TimePoint Now);
-  void take(const RunEnded &Item, TimePoint Now);
-  void take(const JobCancelled &Item, TimePoint Now);
-  void take(const UpkeepBegun &Item, TimePoint Now);
-  void take(const MachineOrdered &Item, TimePoint Now);
+  void applyEvent(const JobAccepted &Item, TimePoint Now);
+  void applyEvent(const RunIntended &Item, TimePoint Now);
+  void applyEvent(const RunEnded &Item, TimePoint Now);
+  void applyEvent(const JobCancelled &Item, TimePoint Now);
+  void applyEvent(const UpkeepBegun &Item, TimePoint Now);
+  void applyEvent(const MachineOrdered &Item, TimePoint Now);
   void addLive(JobRow &Job, const RunName &Run, const LiveRun &Live);
   void taskDone(JobRow &Job, const TaskName &Task, TimePoint Now);
   void gangDone(JobRow &Job, const RunName &Run, TimePoint Now);
@@ -173,14 +175,14 @@
   void taskFailed(JobRow &Job, TaskRow &Task, std::uint32_t Most,
                   TimePoint Now);
   std::uint32_t attemptLimit(const QueueName &Queue) const;
-  void close(JobRow &Job, JobState State, TimePoint Now);
-  JobRow *row(const JobId &Job);
+  void endJob(JobRow &Job, JobState State, TimePoint Now);
+  JobRow *mutableJob(const JobId &Job);
 
   std::map<JobId, JobRow> Jobs_;
   std::map<JobId, std::uint64_t> Order_;
   std::map<std::uint64_t, JobId> Open_;
   std::uint64_t NextOrder_ = 1;
-  std::map<WorkerLife, WorkerUse> Workers_;
+  std::map<WorkerIncarnation, WorkerUsage> Workers_;
   std::map<WorkspaceName, Resources> Workspaces_;
   std::map<QueueName, std::uint64_t> Waiting_;
   std::deque<std::pair<TimePoint, JobId>> Ended_;
--- a/src/jobs/events.h
+++ b/src/jobs/events.h
@@ -15,7 +15,7 @@
 /// successor knows each worker on which the run may exist.
 struct RunIntended {
   RunName Run_;
-  WorkerLife On_;
+  WorkerIncarnation Worker_;
 };
 
 /// A run is over for good: it works no more and can never start again.
@@ -53,7 +53,7 @@
 /// When a group of events was written: how long after the takeover of the
 /// holder with this token, by that holder's own steady clock.
 struct GroupStamp {
-  FencingToken By_;
+  FencingToken Token_;
   Duration SinceTakeover_{};
 };
 
--- a/src/jobs/internal/celltable.cpp
+++ b/src/jobs/internal/celltable.cpp
@@ -22,10 +22,10 @@
 } // namespace
 
 void CellTable::apply(const Event &Item, TimePoint Now) {
-  std::visit([&](const auto &Body) { take(Body, Now); }, Item);
+  std::visit([&](const auto &Body) { applyEvent(Body, Now); }, Item);
 }
 
-void CellTable::complete(Event &Item) const {
+void CellTable::recordAttemptLimit(Event &Item) const {
   auto *End = std::get_if<RunEnded>(&Item);
   const JobRow *Job = End ? find(End->Run_.Task_.Job_) : nullptr;
   if (Job)
@@ -36,7 +36,7 @@
   return AttemptLimit_ ? AttemptLimit_(Queue) : DefaultAttempts;
 }
 
-JobRow *CellTable::row(const JobId &Job) {
+JobRow *CellTable::mutableJob(const JobId &Job) {
   const auto Found = Jobs_.find(Job);
   return Found == Jobs_.end() ? nullptr : &Found->second;
 }
@@ -51,7 +51,7 @@
 }
 
 TaskRow *CellTable::findTask(const TaskName &Task) {
-  JobRow *Job = row(Task.Job_);
+  JobRow *Job = mutableJob(Task.Job_);
   if (!Job || Task.Occurrence_ >= Job->Occurrences_.size())
     return nullptr;
   OccurrenceRow &Occurrence = Job->Occurrences_[Task.Occurrence_];
@@ -82,7 +82,7 @@
              : nullptr;
 }
 
-const WorkerUse *CellTable::useOf(const WorkerLife &Worker) const {
+const WorkerUsage *CellTable::usageOf(const WorkerIncarnation &Worker) const {
   const auto Found = Workers_.find(Worker);
   return Found == Workers_.end() ? nullptr : &Found->second;
 }
@@ -109,7 +109,7 @@
   return Found == Waiting_.end() ? 0 : Found->second;
 }
 
-void CellTable::take(const JobAccepted &Item, TimePoint Now) {
+void CellTable::applyEvent(const JobAccepted &Item, TimePoint Now) {
   if (Jobs_.contains(Item.Spec_.Id_))
     return;
   JobRow Row;
@@ -133,21 +133,21 @@
   Task.Runs_.push_back(Live);
   ++Job.LiveRuns_;
   const Resources Demand = Job.Spec_.Steps_[Name.Step_].demand();
-  WorkerUse &Use = Workers_[Live.On_];
+  WorkerUsage &Use = Workers_[Live.Worker_];
   Use.Used_ += Demand;
   Use.Runs_.insert(Run);
-  Workspaces_[Job.Spec_.Workspace_] += Job.Spec_.Steps_[Name.Step_].Each_;
+  Workspaces_[Job.Spec_.Workspace_] += Job.Spec_.Steps_[Name.Step_].PerTask_;
 }
 
-void CellTable::take(const RunIntended &Item, TimePoint Now) {
-  JobRow *Job = row(Item.Run_.Task_.Job_);
+void CellTable::applyEvent(const RunIntended &Item, TimePoint Now) {
+  JobRow *Job = mutableJob(Item.Run_.Task_.Job_);
   TaskRow *Task = findTask(Item.Run_.Task_);
   // A run that was seen before is replayed on top of a later snapshot.
   if (!Job || !Task || Item.Run_.Run_ <= Task->LastRun_)
     return;
   LiveRun Live;
   Live.Run_ = Item.Run_.Run_;
-  Live.On_ = Item.On_;
+  Live.Worker_ = Item.Worker_;
   Live.StartedAt_ = Now;
   Task->LastRun_ = std::max(Task->LastRun_, Item.Run_.Run_);
   addLive(*Job, Item.Run_, Live);
@@ -157,20 +157,20 @@
   --Waiting_[Job->Spec_.Queue_];
 }
 
-void CellTable::take(const RunEnded &Item, TimePoint Now) {
-  JobRow *Job = row(Item.Run_.Task_.Job_);
+void CellTable::applyEvent(const RunEnded &Item, TimePoint Now) {
+  JobRow *Job = mutableJob(Item.Run_.Task_.Job_);
   TaskRow *Task = findTask(Item.Run_.Task_);
   const LiveRun *Live = find(Item.Run_);
   if (!Job || !Task || !Live)
     return;
   const TaskName &Name = Item.Run_.Task_;
   const StepSpec &Spec = Job->Spec_.Steps_[Name.Step_];
-  WorkerUse &Use = Workers_[Live->On_];
+  WorkerUsage &Use = Workers_[Live->Worker_];
   Use.Used_ -= Spec.demand();
   Use.Runs_.erase(Item.Run_);
   if (Use.Runs_.empty())
-    Workers_.erase(Live->On_);
-  Workspaces_[Job->Spec_.Workspace_] -= Spec.Each_;
+    Workers_.erase(Live->Worker_);
+  Workspaces_[Job->Spec_.Workspace_] -= Spec.PerTask_;
   std::erase_if(Task->Runs_, [&](const LiveRun &Candidate) {
     return Candidate.Run_ == Item.Run_.Run_;
   });
@@ -211,45 +211,45 @@
   if (++Occurrence.StepsDone_ < Occurrence.Steps_.size())
     return;
   if (++Job.OccurrencesDone_ == Job.Occurrences_.size() && !Job.ended())
-    close(Job, JobState::Done, Now);
+    endJob(Job, JobState::Done, Now);
 }
 
 void CellTable::taskFailed(JobRow &Job, TaskRow &Task, std::uint32_t Most,
                            TimePoint Now) {
   ++Task.Failures_;
   if (Task.Failures_ >= Most && !Task.Done_ && !Job.ended())
-    close(Job, JobState::Failed, Now);
+    endJob(Job, JobState::Failed, Now);
 }
 
-void CellTable::take(const JobCancelled &Item, TimePoint Now) {
-  JobRow *Job = row(Item.Job_);
+void CellTable::applyEvent(const JobCancelled &Item, TimePoint Now) {
+  JobRow *Job = mutableJob(Item.Job_);
   if (Job && !Job->ended())
-    close(*Job, JobState::Cancelled, Now);
+    endJob(*Job, JobState::Cancelled, Now);
 }
 
-void CellTable::take(const UpkeepBegun &Item, TimePoint) {
+void CellTable::applyEvent(const UpkeepBegun &Item, TimePoint) {
   Upkeep_[Item.Wave_].insert(Item.Machine_);
 }
 
-void CellTable::take(const MachineOrdered &Item, TimePoint) {
+void CellTable::applyEvent(const MachineOrdered &Item, TimePoint) {
   const auto Row = MachineOrders_.try_emplace(Item.Machine_).first;
-  if (Row->second.Home_.empty())
-    Row->second.Home_ = Item.From_;
-  Row->second.Quiet_ = Duration::zero();
-  Row->second.Leaving_ = true;
+  if (Row->second.HomePool_.empty())
+    Row->second.HomePool_ = Item.From_;
+  Row->second.SinceLastOrder_ = Duration::zero();
+  Row->second.SendUnconfirmed_ = true;
 }
 
-void CellTable::passTime(Duration Passed) {
+void CellTable::advanceTime(Duration Passed) {
   for (auto &[Machine, Order] : MachineOrders_) {
     // The order left only when its own entry was stored, which the next one
     // proves; time counts from there.
-    if (!Order.Leaving_)
-      Order.Quiet_ += Passed;
-    Order.Leaving_ = false;
+    if (!Order.SendUnconfirmed_)
+      Order.SinceLastOrder_ += Passed;
+    Order.SendUnconfirmed_ = false;
   }
 }
 
-void CellTable::close(JobRow &Job, JobState State, TimePoint Now) {
+void CellTable::endJob(JobRow &Job, JobState State, TimePoint Now) {
   if (Job.State_ == JobState::Pending)
     --Waiting_[Job.Spec_.Queue_];
   Job.State_ = State;
@@ -300,12 +300,12 @@
   const JobId Id = Row.Spec_.Id_;
   if (Jobs_.contains(Id))
     return;
-  take(JobAccepted{Row.Spec_}, Now);
+  applyEvent(JobAccepted{Row.Spec_}, Now);
   JobRow &Put = Jobs_.at(Id);
   // First of all: a job that failed or was cancelled beside its last tasks'
   // ends is not to be closed as done by putting these back.
   if (Row.ended())
-    close(Put, Row.State_, Now);
+    endJob(Put, Row.State_, Now);
   for (std::uint32_t K = 0; K < Row.Occurrences_.size(); ++K)
     for (std::uint32_t S = 0; S < Row.Occurrences_[K].Steps_.size(); ++S) {
       auto &Tasks = Row.Occurrences_[K].Steps_[S].Tasks_;
@@ -318,15 +318,15 @@
   --Waiting_[Put.Spec_.Queue_];
 }
 
-void CellTable::forgetProgress(const WorkerLife &Worker) {
-  const WorkerUse *Use = useOf(Worker);
+void CellTable::resetProgress(const WorkerIncarnation &Worker) {
+  const WorkerUsage *Use = usageOf(Worker);
   if (!Use)
     return;
   for (const RunName &Run : Use->Runs_)
     findLive(Run)->Percent_ = 0;
 }
 
-void CellTable::setAges(std::int64_t WallMs, TimePoint Now) {
+void CellTable::restoreAcceptTimes(std::int64_t WallMs, TimePoint Now) {
   for (const auto &[Order, Id] : Open_) {
     JobRow &Job = Jobs_.at(Id);
     const std::int64_t AgeMs = std::clamp<std::int64_t>(
--- a/src/jobs/internal/eventcodec.cpp
+++ b/src/jobs/internal/eventcodec.cpp
@@ -8,9 +8,9 @@
 
 void write(const StepSpec &From, wire::Step &To) {
   To.set_count(From.Count_);
-  To.set_milli_cpus(From.Each_.MilliCpus_);
-  To.set_memory_mb(From.Each_.MemoryMb_);
-  To.set_accelerators(From.Each_.Accelerators_);
+  To.set_milli_cpus(From.PerTask_.MilliCpus_);
+  To.set_memory_mb(From.PerTask_.MemoryMb_);
+  To.set_accelerators(From.PerTask_.Accelerators_);
   To.set_estimate_micros(From.Estimate_.count());
   for (const std::uint32_t Step : From.After_)
     To.add_after(Step);
@@ -25,13 +25,13 @@
   To.set_image(From.Image_.str());
   To.set_target_ms(From.TargetMs_);
   To.set_filler(From.Filler_);
-  To.set_may_miss(From.MayMiss_);
+  To.set_may_miss(From.MaxUnavailable_);
 }
 
 StepSpec read(const wire::Step &From) {
   StepSpec To;
   To.Count_ = From.count();
-  To.Each_ = {From.milli_cpus(), From.memory_mb(), From.accelerators()};
+  To.PerTask_ = {From.milli_cpus(), From.memory_mb(), From.accelerators()};
   To.Estimate_ = Duration(From.estimate_micros());
   To.After_.assign(From.after().begin(), From.after().end());
   To.Checkpointing_ = From.checkpointing();
@@ -45,7 +45,7 @@
   To.Image_ = ImageName(From.image());
   To.TargetMs_ = From.target_ms();
   To.Filler_ = From.filler();
-  To.MayMiss_ = From.may_miss();
+  To.MaxUnavailable_ = From.may_miss();
   return To;
 }
 
@@ -104,8 +104,8 @@
   wire::RunIntended &Into = *To.mutable_intended();
   write(From.Run_.Task_, *Into.mutable_task());
   Into.set_run(From.Run_.Run_.value());
-  Into.set_worker(From.On_.Id_.str());
-  Into.set_born_ms(From.On_.BornMs_);
+  Into.set_worker(From.Worker_.Id_.str());
+  Into.set_born_ms(From.Worker_.StartedMs_);
 }
 
 void write(const RunEnded &From, wire::Event &To) {
@@ -190,8 +190,8 @@
   for (const LiveRun &Live : From.Runs_) {
     wire::LiveRun &Into = *To.add_runs();
     Into.set_run(Live.Run_.value());
-    Into.set_worker(Live.On_.Id_.str());
-    Into.set_born_ms(Live.On_.BornMs_);
+    Into.set_worker(Live.Worker_.Id_.str());
+    Into.set_born_ms(Live.Worker_.StartedMs_);
   }
 }
 
@@ -221,7 +221,7 @@
   for (const wire::LiveRun &Live : From.runs()) {
     LiveRun Run;
     Run.Run_ = RunNumber(Live.run());
-    Run.On_ = {WorkerId(Live.worker()), Live.born_ms()};
+    Run.Worker_ = {WorkerId(Live.worker()), Live.born_ms()};
     Run.StartedAt_ = Now;
     To.Runs_.push_back(std::move(Run));
   }
@@ -255,7 +255,7 @@
 std::string encodeGroup(const std::vector<Event> &Events,
                         const GroupStamp &Stamp) {
   wire::Group Group;
-  Group.set_token(Stamp.By_.value());
+  Group.set_token(Stamp.Token_.value());
   Group.set_since_takeover_micros(Stamp.SinceTakeover_.count());
   for (const Event &Item : Events)
     std::visit([&](const auto &Body) { write(Body, *Group.add_events()); },
@@ -295,7 +295,7 @@
     for (const MachineId &Machine : Machines)
       write({Wave, Machine}, *Part.add_upkeep());
   for (const auto &[Machine, Order] : Table.machineOrders())
-    write(MachineOrdered{Machine, Order.Home_}, *Part.add_machine_orders());
+    write(MachineOrdered{Machine, Order.HomePool_}, *Part.add_machine_orders());
   if (Part.ByteSizeLong() > 0)
     Parts.push_back(Part.SerializeAsString());
   return Parts;
--- a/src/jobs/internal/jobtypes.cpp
+++ b/src/jobs/internal/jobtypes.cpp
@@ -39,11 +39,11 @@
     return "failed";
   case EndKind::Stopped:
     return "stopped";
-  case EndKind::Lapsed:
+  case EndKind::LeaseExpired:
     return "lapsed";
-  case EndKind::Broken:
+  case EndKind::GangMemberEnded:
     return "broken";
-  case EndKind::Alone:
+  case EndKind::GangIncomplete:
     return "alone";
   case EndKind::Refused:
     return "refused";
--- a/src/jobs/jobtypes.h
+++ b/src/jobs/jobtypes.h
@@ -64,18 +64,18 @@
 
 /// One life of a worker process: a restart under the same id is another life,
 /// which knows nothing of what ran before.
-struct WorkerLife {
+struct WorkerIncarnation {
   WorkerId Id_;
   /// Start of the process in Unix milliseconds, by its own word.
-  std::int64_t BornMs_ = 0;
+  std::int64_t StartedMs_ = 0;
 
-  auto operator<=>(const WorkerLife &) const = default;
+  auto operator<=>(const WorkerIncarnation &) const = default;
 };
 
 /// One step of a job: tasks that are alike.
 struct StepSpec {
   std::uint32_t Count_ = 1;
-  Resources Each_;
+  Resources PerTask_;
   /// The caller's estimate of one task's run time; may be far off.
   Duration Estimate_{};
   /// Steps whose tasks must all be done before a task of this one starts.
@@ -102,11 +102,11 @@
   /// against a worker's room.
   bool Filler_ = false;
   /// Most tasks that may be away at the same time by our own doing.
-  std::uint32_t MayMiss_ = 0;
+  std::uint32_t MaxUnavailable_ = 0;
 
   /// What one task takes of a worker's room.
   Resources demand() const {
-    Resources Result = Each_;
+    Resources Result = PerTask_;
     if (Filler_)
       Result.MilliCpus_ = 0;
     return Result;
@@ -162,11 +162,11 @@
   Failed,
   Stopped,
   /// The worker's lease ran out.
-  Lapsed,
+  LeaseExpired,
   /// Another member of the gang ended.
-  Broken,
+  GangMemberEnded,
   /// The rest of the gang did not come.
-  Alone,
+  GangIncomplete,
   /// The worker refused to start it: it never ran.
   Refused,
   /// The worker's life is over, or its lease ended unseen.
--- a/src/jobs/tests/celltabletest.cpp
+++ b/src/jobs/tests/celltabletest.cpp
@@ -10,7 +10,7 @@
 
 const TimePoint Start(std::chrono::hours(1));
 const JobId Job("0123456789abcdef");
-const WorkerLife Worker{WorkerId("w1"), 5};
+const WorkerIncarnation Worker{WorkerId("w1"), 5};
 const WorkspaceName Workspace("ws");
 const QueueName Queue("q");
 
@@ -22,7 +22,7 @@
   Spec.Payload_ = "payload";
   StepSpec First;
   First.Count_ = 2;
-  First.Each_ = {1000, 100, 0};
+  First.PerTask_ = {1000, 100, 0};
   StepSpec Second = First;
   Second.Count_ = 1;
   Second.After_ = {0};
@@ -69,20 +69,20 @@
 BOOST_AUTO_TEST_CASE(EverythingLiveCountsAgainstWorkerAndWorkspace) {
   start(runOf(0, 0, 1));
   start(runOf(0, 1, 1));
-  BOOST_TEST(Table_.useOf(Worker)->Used_.MilliCpus_ == 2000);
+  BOOST_TEST(Table_.usageOf(Worker)->Used_.MilliCpus_ == 2000);
   BOOST_TEST(Table_.usedBy(Workspace).MilliCpus_ == 2000);
   end(runOf(0, 0, 1), EndKind::Lost);
   BOOST_TEST(Table_.usedBy(Workspace).MilliCpus_ == 1000);
   end(runOf(0, 1, 1), EndKind::Done);
-  BOOST_TEST((Table_.useOf(Worker) == nullptr));
+  BOOST_TEST((Table_.usageOf(Worker) == nullptr));
 }
 
 BOOST_AUTO_TEST_CASE(OnlyFailuresCountAsAttempts) {
   Table_.setAttemptLimit([](const QueueName &) { return 2u; });
   std::uint64_t Run = 1;
   for (const EndKind Kind :
-       {EndKind::Lost, EndKind::Lapsed, EndKind::Refused, EndKind::Stopped,
-        EndKind::Failed, EndKind::Lost}) {
+       {EndKind::Lost, EndKind::LeaseExpired, EndKind::Refused,
+        EndKind::Stopped, EndKind::Failed, EndKind::Lost}) {
     start(runOf(0, 0, Run));
     end(runOf(0, 0, Run++), Kind);
   }
@@ -114,9 +114,9 @@
   Failure.Saved_ = Checkpoint("c");
   RunIntended First, Second;
   First.Run_ = runOf(0, 0, 1);
-  First.On_ = Worker;
+  First.Worker_ = Worker;
   Second.Run_ = runOf(0, 0, 2);
-  Second.On_ = Worker;
+  Second.Worker_ = Worker;
   const std::vector<Event> Events = {JobAccepted{twoSteps()}, First, Failure,
                                      Second};
   CellTable Table;
@@ -146,7 +146,7 @@
     BOOST_REQUIRE(decodeSnapshot(Part, Start, Again).ok());
   BOOST_TEST((Again.find(Job)->State_ == JobState::Cancelled));
   BOOST_TEST(Again.find(Job)->LiveRuns_ == 1u);
-  BOOST_TEST(Again.useOf(Worker)->Runs_.size() == 1u);
+  BOOST_TEST(Again.usageOf(Worker)->Runs_.size() == 1u);
 }
 
 // A caller hears that its job is cancelled, and after a takeover that it is
--- a/src/journal/internal/holder.cpp
+++ b/src/journal/internal/leader.cpp
@@ -1,4 +1,4 @@
-#include "journal/holder.h"
+#include "journal/leader.h"
 
 #include <charconv>
 #include <cstdio>
@@ -45,14 +45,14 @@
 
 } // namespace
 
-std::string encodeHolder(const Holder &From) {
+std::string encodeLeader(const Leader &From) {
   return json::serialize(json::value{{"entry", From.Entry_.str()},
                                      {"incarnation", From.Incarnation_.value()},
                                      {"peer", From.PeerAddress_},
                                      {"attempt", From.Attempt_}});
 }
 
-std::optional<Holder> decodeHolder(std::string_view Text,
+std::optional<Leader> decodeLeader(std::string_view Text,
                                    fleet::Revision Written) {
   json::error_code Error;
   const json::value Value = json::parse(Text, Error);
@@ -65,7 +65,7 @@
   const auto Attempt = number(*Fields, "attempt");
   if (!Entry || !Peer || !Incarnation || !Attempt)
     return std::nullopt;
-  return Holder{fleet::EntryName(*Entry), fleet::Incarnation(*Incarnation),
+  return Leader{fleet::EntryName(*Entry), fleet::Incarnation(*Incarnation),
                 *Peer, *Attempt, jobs::FencingToken(Written.value())};
 }
 
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -17,13 +17,13 @@
 /// How much time passed between the entries of a journal, by the steady clocks
 /// of those who wrote them. The time between two holders is not counted but
 /// for what the later one measured itself, so the sum is never too long.
-class JournalAge {
+class JournalClock {
 public:
   /// Time since the entry before, at least.
   Duration advance(const jobs::GroupStamp &Stamp) {
     const Duration Before =
-        Stamp.By_ == Last_.By_ ? Last_.SinceTakeover_ : Duration::zero();
-    const bool First = Last_.By_.value() == 0;
+        Stamp.Token_ == Last_.Token_ ? Last_.SinceTakeover_ : Duration::zero();
+    const bool First = Last_.Token_.value() == 0;
     Last_ = Stamp;
     return First ? Duration::zero()
                  : std::max(Duration::zero(), Stamp.SinceTakeover_ - Before);
@@ -51,13 +51,13 @@
   /// milliseconds, and sixty times as slow when it is in trouble; an entry's
   /// own pauses last up to a tenth of a second. All entries behind a lost
   /// answer wait for it.
-  static constexpr Duration LeastAnswerTime = std::chrono::milliseconds(120);
-  static constexpr Duration LongestAnswerTime = std::chrono::milliseconds(1200);
+  static constexpr Duration MinAnswerTimeout = std::chrono::milliseconds(120);
+  static constexpr Duration MaxAnswerTimeout = std::chrono::milliseconds(1200);
   /// After a refusal: nothing was done, and asking at once would be refused.
   static constexpr Duration RetryPause = std::chrono::milliseconds(50);
 
   Journal(Store &S, CellKeys Keys, Leadership<Store> &Lead)
-      : Store_(S), Keys_(std::move(Keys)), Lead_(Lead), Reign_(Lead.reign()) {}
+      : Store_(S), Keys_(std::move(Keys)), Lead_(Lead), Term_(Lead.term()) {}
 
   /// Reads the whole state into \p Into. Called once after a takeover, when
   /// nobody else can write any more.
@@ -85,12 +85,12 @@
   /// leadership is over: then nobody here knows whether it was written.
   absl::Status append(const std::vector<jobs::Event> &Events) {
     const std::string Bytes = jobs::encodeGroup(
-        Events, {Lead_.token(), SteadyClock().now() - Lead_.begunAt()});
+        Events, {Lead_.token(), SteadyClock().now() - Lead_.startedAt()});
     const std::string Key = Keys_.log(Next_);
-    store::Transaction Txn = guarded();
+    store::Transaction Txn = fencedTransaction();
     Txn.Compares_.push_back({Key, fleet::Revision(0)});
     Txn.Puts_ = {{Key, Bytes, 0}};
-    const auto Written = commitOnce(Txn, Key, Bytes);
+    const auto Written = commitExactlyOnce(Txn, Key, Bytes);
     if (!Written.ok())
       return Written.status();
     ++Next_;
@@ -99,9 +99,7 @@
     return absl::OkStatus();
   }
 
-  bool wantsSnapshot() const {
-    return Next_ - Base_.Index_ > EntriesPerSnapshot;
-  }
+  bool snapshotDue() const { return Next_ - Base_.Index_ > EntriesPerSnapshot; }
 
   /// Writes \p Table as the new base, and removes what it replaces. The table
   /// holds all committed entries, and may hold later events: replaying those on
@@ -111,25 +109,26 @@
     const std::uint64_t Index = Next_ - 1;
     const auto Parts = jobs::encodeSnapshot(Table, SnapshotPartBytes);
     for (std::size_t I = 0; I < Parts.size(); ++I) {
-      store::Transaction Txn = guarded();
+      store::Transaction Txn = fencedTransaction();
       Txn.Puts_ = {{Keys_.snapshot(Index, I), Parts[I], 0}};
-      const auto Put = commitOnce(Txn, Keys_.snapshot(Index, I), Parts[I]);
+      const auto Put =
+          commitExactlyOnce(Txn, Keys_.snapshot(Index, I), Parts[I]);
       if (!Put.ok())
         return Put.status();
     }
     const Base Fresh{Index, Parts.size()};
-    store::Transaction Txn = guarded();
+    store::Transaction Txn = fencedTransaction();
     // A write of an older base that is carried out late must not take the
     // place of this one: the entries that it counts on are gone by then.
     Txn.Compares_.push_back({Keys_.base(), BaseRevision_});
     Txn.Puts_ = {{Keys_.base(), encodeBase(Fresh), 0}};
-    const auto Put = commitOnce(Txn, Keys_.base(), encodeBase(Fresh));
+    const auto Put = commitExactlyOnce(Txn, Keys_.base(), encodeBase(Fresh));
     if (!Put.ok())
       return Put.status();
     BaseRevision_ = *Put;
     Base_ = Fresh;
     ++Counters_.Snapshots_;
-    return removeOld(Old);
+    return removeCompacted(Old);
   }
 
   /// Whether a write that was asked for now would not be stored soon: the store
@@ -137,23 +136,24 @@
   /// took lately.
   bool stalled(TimePoint Now) const {
     return PendingSince_ &&
-           (Refused_ || Now - *PendingSince_ > LeastSilence + 3 * UsualTime_);
+           (Refused_ ||
+            Now - *PendingSince_ > MinStallTime + 3 * TypicalCommitTime_);
   }
   const JournalCounters &counters() const { return Counters_; }
 
 private:
-  static constexpr Duration LeastSilence = std::chrono::milliseconds(250);
+  static constexpr Duration MinStallTime = std::chrono::milliseconds(250);
   /// Weight of the newest write in the usual time: about the last five count.
-  static constexpr int UsualTimeShare = 5;
+  static constexpr int CommitTimeSmoothing = 5;
   static constexpr Duration LoadTime = std::chrono::milliseconds(2000);
 
-  store::Transaction guarded() const {
+  store::Transaction fencedTransaction() const {
     store::Transaction Txn;
-    Txn.Compares_ = {headIs(Lead_.token())};
+    Txn.Compares_ = {headRevisionIs(Lead_.token())};
     return Txn;
   }
 
-  store::Compare headIs(jobs::FencingToken Token) const {
+  store::Compare headRevisionIs(jobs::FencingToken Token) const {
     return {Keys_.head(), fleet::Revision(Token.value())};
   }
 
@@ -179,7 +179,7 @@
     if (!Log.ok())
       return Log.status();
     Next_ = Base_.Index_ + 1;
-    JournalAge Ages;
+    JournalClock Ages;
     for (const store::KeyValue &Item : Log->Items_) {
       const std::uint64_t Index = indexOfLogKey(Item.Key_);
       if (Index <= Base_.Index_)
@@ -190,7 +190,7 @@
       const auto Group = jobs::decodeGroup(Item.Value_);
       if (!Group.ok())
         return Group.status();
-      Into.passTime(Ages.advance(Group->Stamp_));
+      Into.advanceTime(Ages.advance(Group->Stamp_));
       for (const jobs::Event &Event : Group->Events_)
         Into.apply(Event, Now);
       ++Next_;
@@ -199,13 +199,13 @@
   }
 
   /// Commits until the outcome is known; the revision of the write.
-  absl::StatusOr<fleet::Revision> commitOnce(const store::Transaction &Txn,
-                                             const std::string &Key,
-                                             const std::string &Value) {
+  absl::StatusOr<fleet::Revision>
+  commitExactlyOnce(const store::Transaction &Txn, const std::string &Key,
+                    const std::string &Value) {
     PendingSince_ = SteadyClock().now();
     auto Outcome = commitUntilKnown(Txn, Key, Value);
     const Duration Took = SteadyClock().now() - *PendingSince_;
-    UsualTime_ += (Took - UsualTime_) / UsualTimeShare;
+    TypicalCommitTime_ += (Took - TypicalCommitTime_) / CommitTimeSmoothing;
     PendingSince_.reset();
     Refused_ = false;
     return Outcome;
@@ -215,21 +215,21 @@
   commitUntilKnown(const store::Transaction &Txn, const std::string &Key,
                    const std::string &Value) {
     store::Transaction Guarded = Txn;
-    while (Lead_.holds(Reign_)) {
+    while (Lead_.holds(Term_)) {
       // The head may have been written anew since the last try.
       const jobs::FencingToken Token = Lead_.token();
-      Guarded.Compares_.front() = headIs(Token);
+      Guarded.Compares_.front() = headRevisionIs(Token);
       const TimePoint Asked = SteadyClock().now();
       const auto Written =
           Store_.commit(Guarded, wallDeadline(Answers_.wait()));
       if (Written.ok())
         Answers_.answered(SteadyClock().now() - Asked);
       if (Written.ok() && Written->Succeeded_) {
-        Lead_.confirmed(Asked);
+        Lead_.recordConfirmation(Asked);
         return Written->StoreRevision_;
       }
       if (Written.ok()) {
-        const auto Settled = settle(Key, Value);
+        const auto Settled = resolveOutcome(Key, Value);
         const bool Over = absl::IsAborted(Settled.status()) &&
                           Lead_.token() == Token && !Lead_.rewritePending();
         if (Settled.ok() || Over)
@@ -247,8 +247,8 @@
 
   /// The condition did not hold: an earlier try has come through, or the head
   /// is another's.
-  absl::StatusOr<fleet::Revision> settle(const std::string &Key,
-                                         const std::string &Value) {
+  absl::StatusOr<fleet::Revision> resolveOutcome(const std::string &Key,
+                                                 const std::string &Value) {
     const auto Read =
         Store_.range(Key, fleet::Revision(0), wallDeadline(Answers_.wait()));
     if (!Read.ok())
@@ -259,20 +259,20 @@
     return absl::AbortedError("the cell has another holder");
   }
 
-  absl::Status removeOld(const Base &Old) {
+  absl::Status removeCompacted(const Base &Old) {
     std::vector<std::string> Keys;
     for (std::uint64_t P = 0; P < Old.Parts_; ++P)
       Keys.push_back(Keys_.snapshot(Old.Index_, P));
     for (std::uint64_t I = Old.Index_ + 1; I <= Base_.Index_; ++I)
       Keys.push_back(Keys_.log(I));
     for (std::size_t At = 0; At < Keys.size(); At += KeysPerTransaction) {
-      store::Transaction Txn = guarded();
+      store::Transaction Txn = fencedTransaction();
       const std::size_t End = std::min(At + KeysPerTransaction, Keys.size());
       Txn.Deletes_.assign(Keys.begin() + At, Keys.begin() + End);
-      if (!Lead_.holds(Reign_))
+      if (!Lead_.holds(Term_))
         return absl::AbortedError("leadership was lost before the removal");
       // A removal without an answer only leaves keys that a replay passes over.
-      const auto Removed = Store_.commit(Txn, wallDeadline(LongestAnswerTime));
+      const auto Removed = Store_.commit(Txn, wallDeadline(MaxAnswerTimeout));
       if (!Removed.ok())
         framework::log::warning("journal.removal_unanswered")
             .field("reason", std::string(Removed.status().message()));
@@ -283,14 +283,14 @@
   Store &Store_;
   CellKeys Keys_;
   Leadership<Store> &Lead_;
-  Reign Reign_;
+  TermNumber Term_;
   std::uint64_t Next_ = 1;
   Base Base_;
   fleet::Revision BaseRevision_;
   std::optional<TimePoint> PendingSince_;
   bool Refused_ = false;
-  Duration UsualTime_{};
-  framework::clock::AnswerTime Answers_{LeastAnswerTime, LongestAnswerTime};
+  Duration TypicalCommitTime_{};
+  framework::clock::AnswerTime Answers_{MinAnswerTimeout, MaxAnswerTimeout};
   JournalCounters Counters_;
 };
 
--- a/src/journal/holder.h
+++ b/src/journal/leader.h
@@ -11,7 +11,7 @@
 namespace laburnumspread::journal {
 
 /// The entry that schedules a cell, as the cell's head key names it.
-struct Holder {
+struct Leader {
   fleet::EntryName Entry_;
   fleet::Incarnation Incarnation_;
   std::string PeerAddress_;
@@ -20,14 +20,14 @@
   /// Revision of the head key; not part of its value.
   jobs::FencingToken Token_;
 
-  bool sameProcess(const Holder &Other) const {
+  bool sameProcess(const Leader &Other) const {
     return Entry_ == Other.Entry_ && Incarnation_ == Other.Incarnation_;
   }
 };
 
-std::string encodeHolder(const Holder &From);
+std::string encodeLeader(const Leader &From);
 /// Empty when the text is not a holder's record.
-std::optional<Holder> decodeHolder(std::string_view Text,
+std::optional<Leader> decodeLeader(std::string_view Text,
                                    fleet::Revision Written);
 
 /// Keys of a cell in the store.
--- a/src/journal/leadership.h
+++ b/src/journal/leadership.h
@@ -2,7 +2,7 @@
 
 #include "framework/clock/steadyclock.h"
 #include "framework/log/log.h"
-#include "journal/holder.h"
+#include "journal/leader.h"
 #include "store/kvstore.h"
 
 #include <map>
@@ -17,7 +17,7 @@
 /// Tells the leaderships of one process apart. A head that is written anew
 /// stays in its reign, though its token rises; a head that is found again after
 /// the leadership was given up begins another.
-using Reign = framework::ids::StrongNumber<struct ReignTag>;
+using TermNumber = framework::ids::StrongNumber<struct TermNumberTag>;
 
 /// Leadership of one cell: a key that dies with a store lease. The revision at
 /// which it was written is the fencing token, so tokens rise from holder to
@@ -33,7 +33,7 @@
   /// Between the look at the clock and the answer's leaving.
   static constexpr Duration AnswerMargin = std::chrono::milliseconds(100);
 
-  Leadership(Store &S, CellKeys Keys, Holder Self)
+  Leadership(Store &S, CellKeys Keys, Leader Self)
       : Store_(S), Keys_(std::move(Keys)), Self_(std::move(Self)) {}
 
   void setPeerAddress(std::string Address) {
@@ -55,7 +55,7 @@
     const TimePoint Asked = SteadyClock().now();
     store::Transaction Txn;
     Txn.Compares_ = {{Keys_.head(), Before}};
-    Txn.Puts_ = {{Keys_.head(), encodeHolder(Self_), Lease_}};
+    Txn.Puts_ = {{Keys_.head(), encodeLeader(Self_), Lease_}};
     const auto Written = Store_.commit(Txn, wallDeadline(CallTime));
     if (Written.ok() && Written->Succeeded_ && !Resigned_)
       return adopt(jobs::FencingToken(Written->StoreRevision_.value()), Asked);
@@ -65,7 +65,7 @@
 public:
   /// Takes over from an earlier process of this entry. It has ended, or this
   /// one could not run in its place; so nobody need wait for its lease.
-  absl::StatusOr<bool> replace(const Holder &Former) {
+  absl::StatusOr<bool> takeOverFrom(const Leader &Former) {
     return campaignAgainst(fleet::Revision(Former.Token_.value()));
   }
 
@@ -73,11 +73,11 @@
   /// was lost, and the write came through after all. An attempt before the last
   /// one is given back, and so is any head once this process has resigned: its
   /// lease would run on, and nobody else could lead.
-  absl::StatusOr<bool> adoptIfOwn(const Holder &Seen) {
+  absl::StatusOr<bool> adoptOwnHead(const Leader &Seen) {
     if (!Seen.sameProcess(Self_) || held())
       return false;
-    if (!wants(Seen)) {
-      release();
+    if (!mayAdopt(Seen)) {
+      removeStaleHead();
       return false;
     }
     const auto Alive = renew();
@@ -86,7 +86,7 @@
     // Meanwhile the answer to the write may have come, or a later attempt may
     // have begun, or this process has resigned; what that has made of the
     // leadership stays.
-    if (!held() && wants(Seen))
+    if (!held() && mayAdopt(Seen))
       begin(Seen.Token_);
     return held();
   }
@@ -94,13 +94,13 @@
   /// Writes the head anew under the lease that holds it. The token rises, and a
   /// peer that still means to take the former one over fails. False when
   /// another has.
-  absl::StatusOr<bool> rewrite() {
+  absl::StatusOr<bool> rewriteHead() {
     const jobs::FencingToken Before = Self_.Token_;
     RewritePending_ = true;
     const TimePoint Asked = SteadyClock().now();
     store::Transaction Txn;
     Txn.Compares_ = {{Keys_.head(), fleet::Revision(Before.value())}};
-    Txn.Puts_ = {{Keys_.head(), encodeHolder(Self_), Lease_}};
+    Txn.Puts_ = {{Keys_.head(), encodeLeader(Self_), Lease_}};
     const auto Written = Store_.commit(Txn, wallDeadline(CallTime));
     if (!Written.ok())
       return Written.status();
@@ -129,14 +129,14 @@
     if (!Alive.ok())
       return Alive.status();
     if (*Alive)
-      confirmed(Asked);
+      recordConfirmation(Asked);
     return *Alive;
   }
 
   /// Notes that the store has proved the leadership at \p Asked or later.
-  void confirmed(TimePoint Asked) {
+  void recordConfirmation(TimePoint Asked) {
     ConfirmedAt_ = std::max(ConfirmedAt_, Asked);
-    HeardAt_ = SteadyClock().now();
+    ConfirmationReceivedAt_ = SteadyClock().now();
     Refusals_ = 0;
   }
 
@@ -144,7 +144,7 @@
   std::uint32_t refusals() const { return Refusals_; }
   /// When the last confirmation arrived. A slow store's arrive late, but as
   /// often as before.
-  TimePoint heardAt() const { return HeardAt_; }
+  TimePoint confirmationReceivedAt() const { return ConfirmationReceivedAt_; }
 
   /// Gives up leadership for good, so that a successor need not wait for the
   /// lease.
@@ -153,7 +153,7 @@
     if (!held())
       return;
     const jobs::FencingToken Token = Self_.Token_;
-    forget();
+    markLost();
     store::Transaction Txn;
     Txn.Compares_ = {{Keys_.head(), fleet::Revision(Token.value())}};
     Txn.Deletes_ = {Keys_.head()};
@@ -164,31 +164,31 @@
   }
 
   /// Leadership has been lost: no order may leave any more.
-  void forget() { Self_.Token_ = jobs::FencingToken(); }
+  void markLost() { Self_.Token_ = jobs::FencingToken(); }
 
   /// Whether nobody else can lead at \p Now: the store has renewed the lease
   /// so lately that it cannot have ended. A holder that is cut off from the
   /// store goes on for a while without knowing of its successor; what it said
   /// of a job then would be old, and "no such job" could be false.
-  bool surelyHeld(TimePoint Now) const {
+  bool leaseValidAt(TimePoint Now) const {
     return held() && Now - ConfirmedAt_ <
                          std::chrono::seconds(LeaseSeconds) - AnswerMargin;
   }
 
   bool held() const { return Self_.Token_.value() != 0; }
   /// The present reign, or the last one when nothing is held.
-  Reign reign() const { return Reign_; }
+  TermNumber term() const { return Term_; }
   /// Whether \p Which is the reign that is held.
-  bool holds(Reign Which) const { return held() && Reign_ == Which; }
+  bool holds(TermNumber Which) const { return held() && Term_ == Which; }
   jobs::FencingToken token() const { return Self_.Token_; }
   TimePoint confirmedAt() const { return ConfirmedAt_; }
   /// When this leadership was found to be won.
-  TimePoint begunAt() const { return BegunAt_; }
-  const Holder &self() const { return Self_; }
+  TimePoint startedAt() const { return StartedAt_; }
+  const Leader &self() const { return Self_; }
 
 private:
   /// Whether an own head may be taken up.
-  bool wants(const Holder &Own) const {
+  bool mayAdopt(const Leader &Own) const {
     return !Resigned_ && Own.Attempt_ == Self_.Attempt_;
   }
 
@@ -198,9 +198,9 @@
     if (!Read.ok())
       return Read.status();
     for (const store::KeyValue &Item : Read->Items_) {
-      const auto Seen = decodeHolder(Item.Value_, Item.ModRevision_);
+      const auto Seen = decodeLeader(Item.Value_, Item.ModRevision_);
       if (Item.Key_ == Keys_.head() && Seen)
-        return adoptIfOwn(*Seen);
+        return adoptOwnHead(*Seen);
     }
     return false;
   }
@@ -218,7 +218,7 @@
     if (Self_.Token_ != Before)
       return absl::CancelledError("the token has changed meanwhile");
     for (const store::KeyValue &Item : Read->Items_) {
-      const auto Seen = decodeHolder(Item.Value_, Item.ModRevision_);
+      const auto Seen = decodeLeader(Item.Value_, Item.ModRevision_);
       if (Item.Key_ == Keys_.head() && Seen && Seen->sameProcess(Self_) &&
           Seen->Attempt_ == Self_.Attempt_)
         return adopt(Seen->Token_, Asked);
@@ -228,19 +228,19 @@
 
   absl::StatusOr<bool> adopt(jobs::FencingToken Token, TimePoint Asked) {
     begin(Token);
-    confirmed(Asked);
+    recordConfirmation(Asked);
     return true;
   }
 
   void begin(jobs::FencingToken Token) {
     if (!held())
-      Reign_ = Reign(Reign_.value() + 1);
+      Term_ = TermNumber(Term_.value() + 1);
     Self_.Token_ = Token;
     RewritePending_ = false;
-    BegunAt_ = SteadyClock().now();
+    StartedAt_ = SteadyClock().now();
   }
 
-  void release() {
+  void removeStaleHead() {
     store::Transaction Txn;
     Txn.Deletes_ = {Keys_.head()};
     const auto Read =
@@ -248,8 +248,8 @@
     if (!Read.ok() || Read->Items_.empty())
       return;
     const store::KeyValue &Item = Read->Items_.front();
-    const auto Seen = decodeHolder(Item.Value_, Item.ModRevision_);
-    if (!Seen || !Seen->sameProcess(Self_) || wants(*Seen))
+    const auto Seen = decodeLeader(Item.Value_, Item.ModRevision_);
+    if (!Seen || !Seen->sameProcess(Self_) || mayAdopt(*Seen))
       return;
     Txn.Compares_ = {{Keys_.head(), Item.ModRevision_}};
     const auto Written = Store_.commit(Txn, wallDeadline(CallTime));
@@ -261,15 +261,15 @@
 
   Store &Store_;
   CellKeys Keys_;
-  Holder Self_;
+  Leader Self_;
   std::int64_t Lease_ = 0;
   TimePoint ConfirmedAt_{};
-  TimePoint HeardAt_{};
+  TimePoint ConfirmationReceivedAt_{};
   std::uint32_t Refusals_ = 0;
   bool RewritePending_ = false;
   bool Resigned_ = false;
-  Reign Reign_;
-  TimePoint BegunAt_{};
+  TermNumber Term_;
+  TimePoint StartedAt_{};
 };
 
 } // namespace laburnumspread::journal
--- a/src/journal/tests/journaltest.cpp
+++ b/src/journal/tests/journaltest.cpp
@@ -16,8 +16,8 @@
 
 const CellKeys Keys("cell/");
 
-Holder holder(const char *Name, std::uint64_t Incarnation = 1) {
-  Holder Result;
+Leader leader(const char *Name, std::uint64_t Incarnation = 1) {
+  Leader Result;
   Result.Entry_ = fleet::EntryName(Name);
   Result.Incarnation_ = fleet::Incarnation(Incarnation);
   return Result;
@@ -33,7 +33,7 @@
 /// One entry with its leadership and journal.
 struct Entry {
   Entry(FakeStore &Store, const char *Name, std::uint64_t Incarnation = 1)
-      : Store_(Store), Lead_(Store, Keys, holder(Name, Incarnation)) {
+      : Store_(Store), Lead_(Store, Keys, leader(Name, Incarnation)) {
     Log_.emplace(Store_, Keys, Lead_);
   }
 
@@ -57,11 +57,11 @@
   }
 
   /// The head as a watch shows it.
-  Holder head() {
+  Leader head() {
     const auto Read = Store_.range(Keys.head(), fleet::Revision(0), {});
     BOOST_REQUIRE(Read->Items_.size() == 1u);
     const store::KeyValue &Item = Read->Items_.front();
-    return *decodeHolder(Item.Value_, Item.ModRevision_);
+    return *decodeLeader(Item.Value_, Item.ModRevision_);
   }
 
   FakeStore Store_;
@@ -97,17 +97,17 @@
 BOOST_AUTO_TEST_CASE(RestartedEntryReplacesItsFormerProcess) {
   BOOST_REQUIRE(*First_.campaign());
   Entry Again(Store_, "first", 2);
-  BOOST_TEST(*Again.Lead_.replace(First_.Lead_.self()));
+  BOOST_TEST(*Again.Lead_.takeOverFrom(First_.Lead_.self()));
   BOOST_TEST(!First_.Log_->append({accepted("a")}).ok());
 }
 
-// A caller asks a cut-off holder for a job that its successor has taken, and
+// A caller asks a cut-off leader for a job that its successor has taken, and
 // is told that there is no such job.
 BOOST_AUTO_TEST_CASE(HolderWithoutTheStoreStopsAnsweringBeforeItsLeaseEnds) {
   BOOST_REQUIRE(*First_.campaign());
   const TimePoint Renewed = First_.Lead_.confirmedAt();
-  BOOST_TEST(First_.Lead_.surelyHeld(Renewed + 800ms));
-  BOOST_TEST(!First_.Lead_.surelyHeld(Renewed + 1s));
+  BOOST_TEST(First_.Lead_.leaseValidAt(Renewed + 800ms));
+  BOOST_TEST(!First_.Lead_.leaseValidAt(Renewed + 1s));
   BOOST_TEST(First_.Lead_.held());
 }
 
@@ -134,7 +134,7 @@
 
 // A caller was told that the outcome is unknown and its job must not appear
 // after a successor has said that there is none: the write of the former
-// holder reaches the store only after the takeover.
+// leader reaches the store only after the takeover.
 BOOST_AUTO_TEST_CASE(LateWriteOfAFormerHolderDoesNothing) {
   BOOST_REQUIRE(*First_.campaign());
   store::Transaction Late;
@@ -163,7 +163,7 @@
   Store_.Next_ = FakeStore::Fault::Lost;
   Store_.BeforeAnswer_ = [&] {
     Store_.endLease(1);
-    First_.Lead_.forget();
+    First_.Lead_.markLost();
     BOOST_TEST(*First_.Lead_.campaign());
     Next.emplace(Store_, Keys, First_.Lead_);
     BOOST_TEST(Next->load(Table, TimePoint()).ok());
@@ -174,7 +174,7 @@
   BOOST_TEST(Next->append({accepted("b")}).ok());
 }
 
-// The holder was frozen while its lease ended. On waking it must not tell a
+// The leader was frozen while its lease ended. On waking it must not tell a
 // caller that the job is stored.
 BOOST_AUTO_TEST_CASE(FormerHolderLearnsThatItMayNotWrite) {
   BOOST_REQUIRE(*First_.campaign());
@@ -184,36 +184,36 @@
 }
 
 // Two entries answer callers for one cell: a peer means to take up an offer of
-// the leadership, its write is late, and meanwhile the holder goes on.
+// the leadership, its write is late, and meanwhile the leader goes on.
 BOOST_AUTO_TEST_CASE(HeadThatWasWrittenAnewIsNotTakenOver) {
   BOOST_REQUIRE(*First_.campaign());
-  const Holder Offered = First_.Lead_.self();
+  const Leader Offered = First_.Lead_.self();
   BOOST_REQUIRE(First_.Log_->append({accepted("a")}).ok());
-  BOOST_TEST(*First_.Lead_.rewrite());
+  BOOST_TEST(*First_.Lead_.rewriteHead());
   BOOST_TEST((First_.Lead_.token() > Offered.Token_));
-  BOOST_TEST(!*Second_.Lead_.replace(Offered));
+  BOOST_TEST(!*Second_.Lead_.takeOverFrom(Offered));
   BOOST_TEST(First_.Log_->append({accepted("b")}).ok());
 }
 
-// Callers wait for seconds: the store is slow, a holder that has written its
+// Callers wait for seconds: the store is slow, a leader that has written its
 // head anew hears no answer, takes its own write for a peer's and steps down,
 // though nobody else leads.
 BOOST_AUTO_TEST_CASE(RewriteWhoseAnswerWasLostIsFoundOut) {
   BOOST_REQUIRE(*First_.campaign());
   Store_.Next_ = FakeStore::Fault::AnswerLost;
-  BOOST_TEST(!First_.Lead_.rewrite().ok());
-  BOOST_TEST(*First_.Lead_.rewrite());
+  BOOST_TEST(!First_.Lead_.rewriteHead().ok());
+  BOOST_TEST(*First_.Lead_.rewriteHead());
   BOOST_TEST(First_.Log_->append({accepted("a")}).ok());
 }
 
 // The answer to a rewrite of the head is lost, and the next entry's condition
-// fails before the holder has found out: it must not step down for that, or
+// fails before the leader has found out: it must not step down for that, or
 // callers wait for a lease to run out that nobody else wants.
 BOOST_AUTO_TEST_CASE(EntryWaitsForARewriteWithoutAnswer) {
   BOOST_REQUIRE(*First_.campaign());
   Store_.Next_ = FakeStore::Fault::AnswerLost;
-  BOOST_REQUIRE(!First_.Lead_.rewrite().ok());
-  boost::fibers::fiber Later([&] { BOOST_TEST(*First_.Lead_.rewrite()); });
+  BOOST_REQUIRE(!First_.Lead_.rewriteHead().ok());
+  boost::fibers::fiber Later([&] { BOOST_TEST(*First_.Lead_.rewriteHead()); });
   BOOST_TEST(First_.Log_->append({accepted("a")}).ok());
   Later.join();
   BOOST_TEST(Store_.has(Keys.log(1)));
@@ -234,7 +234,7 @@
   };
   Store_.BeforeAnswer_ = [&] {
     Watch = boost::fibers::fiber(boost::fibers::launch::dispatch, [&] {
-      BOOST_TEST(!First_.Lead_.adoptIfOwn(head()).ok());
+      BOOST_TEST(!First_.Lead_.adoptOwnHead(head()).ok());
     });
   };
   BOOST_TEST(*First_.campaign());
@@ -244,16 +244,16 @@
   BOOST_TEST(First_.Log_->append({accepted("a")}).ok());
 }
 
-// A cell has a holder that does nothing: it renews its lease and schedules no
+// A cell has a leader that does nothing: it renews its lease and schedules no
 // job until its process ends. The answer to a rewrite of the head was lost, and
-// while the holder looked for it its term ended. What it found made it lead
+// while the leader looked for it its term ended. What it found made it lead
 // again, without a term: its own head is passed over while it leads.
 BOOST_AUTO_TEST_CASE(RewriteThatIsFoundOutTooLateBeginsNothing) {
   BOOST_REQUIRE(*First_.campaign());
   Store_.Next_ = FakeStore::Fault::AnswerLost;
-  BOOST_REQUIRE(!First_.Lead_.rewrite().ok());
-  Store_.BeforeList_ = [&] { First_.Lead_.forget(); };
-  BOOST_TEST(!First_.Lead_.rewrite().ok());
+  BOOST_REQUIRE(!First_.Lead_.rewriteHead().ok());
+  Store_.BeforeList_ = [&] { First_.Lead_.markLost(); };
+  BOOST_TEST(!First_.Lead_.rewriteHead().ok());
   BOOST_TEST(!First_.Lead_.held());
 }
 
@@ -264,7 +264,7 @@
   BOOST_REQUIRE(*First_.campaign());
   Store_.Next_ = FakeStore::Fault::Lost;
   First_.Lead_.resign();
-  BOOST_TEST(!*First_.Lead_.adoptIfOwn(head()));
+  BOOST_TEST(!*First_.Lead_.adoptOwnHead(head()));
   BOOST_TEST(!First_.Lead_.held());
   BOOST_TEST(!Store_.has(Keys.head()));
 }
@@ -279,13 +279,13 @@
 
 BOOST_AUTO_TEST_CASE(HolderThatWasReplacedCannotGoOn) {
   BOOST_REQUIRE(*First_.campaign());
-  BOOST_TEST(*Second_.Lead_.replace(First_.Lead_.self()));
-  BOOST_TEST(!*First_.Lead_.rewrite());
+  BOOST_TEST(*Second_.Lead_.takeOverFrom(First_.Lead_.self()));
+  BOOST_TEST(!*First_.Lead_.rewriteHead());
   BOOST_TEST(absl::IsAborted(First_.Log_->append({accepted("a")})));
 }
 
 BOOST_AUTO_TEST_CASE(AgeCountsEachHoldersOwnTime) {
-  JournalAge Age;
+  JournalClock Age;
   const auto At = [&](std::uint64_t Token, Duration Since) {
     return Age.advance({jobs::FencingToken(Token), Since});
   };
@@ -315,9 +315,10 @@
   BOOST_REQUIRE(*Second_.campaign());
   const CellTable Loaded = loadBy(Second_);
   BOOST_REQUIRE(Loaded.machineOrders().size() == 2u);
-  BOOST_TEST((Loaded.machineOrders().at(Early).Quiet_ == 2s));
-  BOOST_TEST((Loaded.machineOrders().at(Last).Quiet_ == 0s));
-  BOOST_TEST(Loaded.machineOrders().at(Early).Home_ == fleet::PoolName("off"));
+  BOOST_TEST((Loaded.machineOrders().at(Early).SinceLastOrder_ == 2s));
+  BOOST_TEST((Loaded.machineOrders().at(Last).SinceLastOrder_ == 0s));
+  BOOST_TEST(Loaded.machineOrders().at(Early).HomePool_ ==
+             fleet::PoolName("off"));
 }
 
 BOOST_AUTO_TEST_CASE(SnapshotKeepsOrdersOfMachines) {
@@ -332,7 +333,7 @@
   BOOST_REQUIRE(*Second_.campaign());
   const CellTable Loaded = loadBy(Second_);
   BOOST_REQUIRE(Loaded.machineOrders().size() == 1u);
-  BOOST_TEST(Loaded.machineOrders().begin()->second.Home_ ==
+  BOOST_TEST(Loaded.machineOrders().begin()->second.HomePool_ ==
              fleet::PoolName("off"));
 }
 
--- a/src/scheduling/advicetable.h
+++ b/src/scheduling/advicetable.h
@@ -25,15 +25,15 @@
 };
 
 /// A worker that may run a step, and the ticket that proves it.
-struct Advice {
+struct AdvisedWorker {
   jobs::WorkerId Worker_;
   std::string Ticket_;
 };
 
 /// One answer of the advisor.
 struct AdviceReply {
-  std::vector<Advice> Good_;
-  Duration Valid_{};
+  std::vector<AdvisedWorker> Workers_;
+  Duration ValidFor_{};
 };
 
 /// What the advisor has said lately. A ticket holds for all tasks of a step
@@ -46,29 +46,30 @@
   /// After an answer without enough workers, or none, the advisor is asked
   /// again: what a step needs does not change, but which workers there are
   /// does.
-  static constexpr Duration AskAgainAfter = std::chrono::milliseconds(400);
+  static constexpr Duration RetryInterval = std::chrono::milliseconds(400);
   /// Workers named in one call, the platform's bound.
-  static constexpr std::size_t MostWorkers = 100;
+  static constexpr std::size_t MaxWorkersPerRequest = 100;
 
   /// Whether the step should be asked about now; notes that it is.
-  bool beginAsking(const StepName &Step, TimePoint Now);
-  void answered(const StepName &Step, const std::vector<Advice> &Good,
-                Duration Valid, TimePoint AskedAt);
-  void unanswered(const StepName &Step, TimePoint Now);
+  bool beginRequest(const StepName &Step, TimePoint Now);
+  void recordAnswer(const StepName &Step,
+                    const std::vector<AdvisedWorker> &Workers,
+                    Duration ValidFor, TimePoint RequestedAt);
+  void recordNoAnswer(const StepName &Step, TimePoint Now);
 
   std::optional<std::string> ticket(const StepName &Step,
                                     const jobs::WorkerId &Worker,
                                     TimePoint Now) const;
   /// A worker has refused the ticket.
-  void refused(const StepName &Step, const jobs::WorkerId &Worker);
+  void recordRefusal(const StepName &Step, const jobs::WorkerId &Worker);
   void forget(const jobs::JobId &Job);
 
 private:
   struct Row {
     std::map<jobs::WorkerId, std::string> Tickets_;
-    TimePoint Until_{};
-    TimePoint AskAgainAt_{};
-    bool Asking_ = false;
+    TimePoint ExpiresAt_{};
+    TimePoint NextRequestAt_{};
+    bool RequestPending_ = false;
   };
 
   std::map<StepName, Row> Rows_;
--- a/src/scheduling/internal/advicetable.cpp
+++ b/src/scheduling/internal/advicetable.cpp
@@ -4,39 +4,40 @@
 
 namespace laburnumspread::scheduling {
 
-bool AdviceTable::beginAsking(const StepName &Step, TimePoint Now) {
+bool AdviceTable::beginRequest(const StepName &Step, TimePoint Now) {
   Row &Known = Rows_[Step];
-  if (Known.Asking_ || Now < Known.AskAgainAt_)
+  if (Known.RequestPending_ || Now < Known.NextRequestAt_)
     return false;
-  Known.Asking_ = true;
+  Known.RequestPending_ = true;
   return true;
 }
 
-void AdviceTable::answered(const StepName &Step,
-                           const std::vector<Advice> &Good, Duration Valid,
-                           TimePoint AskedAt) {
+void AdviceTable::recordAnswer(const StepName &Step,
+                               const std::vector<AdvisedWorker> &Workers,
+                               Duration ValidFor, TimePoint RequestedAt) {
   Row &Known = Rows_[Step];
-  Known.Asking_ = false;
+  Known.RequestPending_ = false;
   Known.Tickets_.clear();
-  for (const Advice &Item : Good)
+  for (const AdvisedWorker &Item : Workers)
     Known.Tickets_[Item.Worker_] = Item.Ticket_;
-  Known.Until_ = AskedAt + Valid;
-  Known.AskAgainAt_ = Good.empty() ? AskedAt + AskAgainAfter
-                                   : std::max(AskedAt + AskAgainAfter,
-                                              Known.Until_ - 2 * UseMargin);
+  Known.ExpiresAt_ = RequestedAt + ValidFor;
+  Known.NextRequestAt_ = Workers.empty()
+                             ? RequestedAt + RetryInterval
+                             : std::max(RequestedAt + RetryInterval,
+                                        Known.ExpiresAt_ - 2 * UseMargin);
 }
 
-void AdviceTable::unanswered(const StepName &Step, TimePoint Now) {
+void AdviceTable::recordNoAnswer(const StepName &Step, TimePoint Now) {
   Row &Known = Rows_[Step];
-  Known.Asking_ = false;
-  Known.AskAgainAt_ = Now + AskAgainAfter;
+  Known.RequestPending_ = false;
+  Known.NextRequestAt_ = Now + RetryInterval;
 }
 
 std::optional<std::string> AdviceTable::ticket(const StepName &Step,
                                                const jobs::WorkerId &Worker,
                                                TimePoint Now) const {
   const auto Known = Rows_.find(Step);
-  if (Known == Rows_.end() || Now + UseMargin > Known->second.Until_)
+  if (Known == Rows_.end() || Now + UseMargin > Known->second.ExpiresAt_)
     return std::nullopt;
   const auto Found = Known->second.Tickets_.find(Worker);
   if (Found == Known->second.Tickets_.end())
@@ -44,13 +45,14 @@
   return Found->second;
 }
 
-void AdviceTable::refused(const StepName &Step, const jobs::WorkerId &Worker) {
+void AdviceTable::recordRefusal(const StepName &Step,
+                                const jobs::WorkerId &Worker) {
   const auto Known = Rows_.find(Step);
   if (Known == Rows_.end())
     return;
   Known->second.Tickets_.erase(Worker);
   if (Known->second.Tickets_.empty())
-    Known->second.AskAgainAt_ = TimePoint();
+    Known->second.NextRequestAt_ = TimePoint();
 }
 
 void AdviceTable::forget(const jobs::JobId &Job) {
--- a/src/scheduling/internal/pacer.cpp
+++ b/src/scheduling/internal/pacer.cpp
@@ -4,16 +4,16 @@
 
 namespace laburnumspread::scheduling {
 
-int Pacer::next(const std::vector<ServingLoad> &Serving) {
+int Pacer::update(const std::vector<ServingLatency> &Serving) {
   double Worst = 0;
-  for (const ServingLoad &Item : Serving)
+  for (const ServingLatency &Item : Serving)
     if (Item.TargetMs_ > 0)
       Worst = std::max(Worst, static_cast<double>(Item.TailMs_) /
                                   static_cast<double>(Item.TargetMs_));
-  if (Worst > Near)
-    Percent_ = Percent_ / 2 < Least ? 0 : Percent_ / 2;
-  else if (Worst < Calm)
-    Percent_ = std::min(Full, Percent_ + Raise);
+  if (Worst > CutAbove)
+    Percent_ = Percent_ / 2 < MinPercent ? 0 : Percent_ / 2;
+  else if (Worst < RaiseBelow)
+    Percent_ = std::min(FullPercent, Percent_ + RaisePercent);
   return Percent_;
 }
 
--- a/src/scheduling/internal/scheduler.cpp
+++ b/src/scheduling/internal/scheduler.cpp
@@ -26,17 +26,17 @@
   std::uint32_t Step_ = 0;
   bool Late_ = false;
   /// When the rest of its job must begin to be in time.
-  TimePoint LatestBegin_{};
+  TimePoint LatestStart_{};
   /// Processor time that the job still needs, in thousandths of a core and
   /// seconds.
-  double WorkLeft_ = 0;
+  double RemainingCpuWork_ = 0;
 };
 
 /// Tasks that serve come first: each second away costs their users. Then work
 /// that can still be in time, that first which can wait the least; what is late
 /// already is worth a fraction, so it takes what is left, the smallest first,
 /// which gets most of it done.
-bool before(const ReadyStep &A, const ReadyStep &B) {
+bool runsBefore(const ReadyStep &A, const ReadyStep &B) {
   const auto Rank = [](const ReadyStep &S) {
     return std::make_tuple(!S.Spec_->LongRunning_, S.Late_, S.Spec_->Filler_,
                            S.Queue_->Priority_);
@@ -44,8 +44,8 @@
   if (Rank(A) != Rank(B))
     return Rank(A) < Rank(B);
   if (A.Late_)
-    return A.WorkLeft_ < B.WorkLeft_;
-  return A.LatestBegin_ < B.LatestBegin_;
+    return A.RemainingCpuWork_ < B.RemainingCpuWork_;
+  return A.LatestStart_ < B.LatestStart_;
 }
 
 bool stepReady(const jobs::OccurrenceRow &Occurrence, const StepSpec &Spec) {
@@ -57,15 +57,15 @@
 }
 
 /// Whether some task of the step waits for a start. A gang starts whole.
-bool hasIdle(const StepRow &Row, const StepSpec &Spec) {
+bool hasIdleTask(const StepRow &Row, const StepSpec &Spec) {
   if (Spec.Gang_)
     return Row.LiveCount_ == 0 && Row.DoneCount_ < Row.Tasks_.size();
   return Row.LiveCount_ + Row.DoneCount_ < Row.Tasks_.size();
 }
 
 /// Longest chain of expected run times over the steps that are not done.
-Duration chainLeft(const JobRow &Job, std::uint32_t Occurrence,
-                   const Estimates &Learned) {
+Duration remainingCriticalPath(const JobRow &Job, std::uint32_t Occurrence,
+                               const RunTimeEstimator &Estimator) {
   const auto &Steps = Job.Occurrences_[Occurrence].Steps_;
   std::vector<Duration> EndOf(Steps.size());
   Duration Longest{};
@@ -75,21 +75,23 @@
     Duration Begin{};
     for (const std::uint32_t Before : Job.Spec_.Steps_[S].After_)
       Begin = std::max(Begin, EndOf[Before]);
-    EndOf[S] = Begin + Learned.of(Job.Spec_.Queue_, Job.Spec_.Steps_[S]);
+    EndOf[S] = Begin +
+               Estimator.expectedRunTime(Job.Spec_.Queue_, Job.Spec_.Steps_[S]);
     Longest = std::max(Longest, EndOf[S]);
   }
   return Longest;
 }
 
-double workLeft(const JobRow &Job, const Estimates &Learned) {
+double remainingCpuWork(const JobRow &Job, const RunTimeEstimator &Estimator) {
   double Sum = 0;
   for (const jobs::OccurrenceRow &Occurrence : Job.Occurrences_)
     for (std::size_t S = 0; S < Occurrence.Steps_.size(); ++S) {
       const StepSpec &Spec = Job.Spec_.Steps_[S];
       const StepRow &Row = Occurrence.Steps_[S];
       Sum += static_cast<double>(Row.Tasks_.size() - Row.DoneCount_) *
-             static_cast<double>(Spec.Each_.MilliCpus_) * 1e-6 *
-             static_cast<double>(Learned.of(Job.Spec_.Queue_, Spec).count());
+             static_cast<double>(Spec.PerTask_.MilliCpus_) * 1e-6 *
+             static_cast<double>(
+                 Estimator.expectedRunTime(Job.Spec_.Queue_, Spec).count());
     }
   return Sum;
 }
@@ -109,8 +111,8 @@
   /// Places the waiting tasks of a step. Returns how many found no worker.
   std::size_t place(const ReadyStep &Step, Plan &Into) {
     if (Step.Queue_->Advice_)
-      Into.WantAdvice_.push_back(nameOf(Step));
-    return Step.Spec_->Gang_ ? placeGang(Step, Into) : placeEach(Step, Into);
+      Into.AwaitingAdvice_.push_back(nameOf(Step));
+    return Step.Spec_->Gang_ ? placeGang(Step, Into) : placeTasks(Step, Into);
   }
 
 private:
@@ -118,7 +120,7 @@
     return {Step.Job_->Spec_.Id_, Step.Occurrence_, Step.Step_};
   }
 
-  std::size_t placeEach(const ReadyStep &Step, Plan &Into) {
+  std::size_t placeTasks(const ReadyStep &Step, Plan &Into) {
     std::size_t Left = 0;
     bool Full = false;
     for (std::uint32_t I = 0; I < Step.Row_->Tasks_.size(); ++I) {
@@ -126,13 +128,13 @@
       if (!Task.idle() || Task.NotBefore_ > Now_)
         continue;
       // Tasks of a step are alike: where one does not fit, none will.
-      Candidate *Chosen = Full ? nullptr : choose(Step);
+      Candidate *Chosen = Full ? nullptr : chooseWorker(Step);
       if (!Chosen) {
         Full = true;
         ++Left;
         continue;
       }
-      take(Step, I, Task.LastRun_.next(), *Chosen, Into);
+      assign(Step, I, Task.LastRun_.next(), *Chosen, Into);
     }
     return Left;
   }
@@ -143,38 +145,38 @@
       Run = std::max(Run, Task.LastRun_);
     Plan Trial;
     const auto Saved = Workers_;
-    const auto SavedWorkspaces = Planned_;
-    const auto SavedPerStep = PerStep_;
+    const auto SavedUsage = PlannedUsage_;
+    const auto SavedPerWorker = PlannedPerWorker_;
     const auto Count = static_cast<std::uint32_t>(Step.Row_->Tasks_.size());
     for (std::uint32_t I = 0; I < Count; ++I) {
-      Candidate *Chosen = choose(Step);
+      Candidate *Chosen = chooseWorker(Step);
       if (!Chosen) {
         Workers_ = Saved;
-        Planned_ = SavedWorkspaces;
-        PerStep_ = SavedPerStep;
+        PlannedUsage_ = SavedUsage;
+        PlannedPerWorker_ = SavedPerWorker;
         return Count;
       }
-      take(Step, I, Run.next(), *Chosen, Trial);
+      assign(Step, I, Run.next(), *Chosen, Trial);
     }
     Into.Starts_.insert(Into.Starts_.end(), Trial.Starts_.begin(),
                         Trial.Starts_.end());
     return 0;
   }
 
-  void take(const ReadyStep &Step, std::uint32_t Index, RunNumber Run,
-            Candidate &On, Plan &Into) {
+  void assign(const ReadyStep &Step, std::uint32_t Index, RunNumber Run,
+              Candidate &On, Plan &Into) {
     On.Free_ -= Step.Spec_->demand();
-    Planned_[Step.Job_->Spec_.Workspace_] += Step.Spec_->Each_;
+    PlannedUsage_[Step.Job_->Spec_.Workspace_] += Step.Spec_->PerTask_;
     if (Step.Spec_->AntiAffinity_ > 0)
-      ++PerStep_[keyOf(Step, On)];
+      ++PlannedPerWorker_[keyOf(Step, On)];
     Into.Starts_.push_back(
         {{{Step.Job_->Spec_.Id_, Step.Occurrence_, Step.Step_, Index}, Run},
-         On.Worker_->Life_});
+         On.Worker_->Incarnation_});
   }
 
   /// The worker for one task: most trusted, near its data, then the fullest
   /// that has room, so that others stay empty and can be given away.
-  Candidate *choose(const ReadyStep &Step) {
+  Candidate *chooseWorker(const ReadyStep &Step) {
     if (!withinWorkspaceLimit(Step))
       return nullptr;
     const auto Pool = ByPool_.find(Step.Queue_->Pool_);
@@ -183,15 +185,15 @@
     Candidate *Best = nullptr;
     for (const std::size_t I : Pool->second) {
       Candidate &Worker = Workers_[I];
-      if (!allowed(Step, Worker))
+      if (!isEligible(Step, Worker))
         continue;
-      if (!Best || better(Step, Worker, *Best))
+      if (!Best || isBetter(Step, Worker, *Best))
         Best = &Worker;
     }
     return Best;
   }
 
-  bool allowed(const ReadyStep &Step, const Candidate &Worker) const {
+  bool isEligible(const ReadyStep &Step, const Candidate &Worker) const {
     const StepSpec &Spec = *Step.Spec_;
     if (!Spec.demand().fitsInto(Worker.Free_))
       return false;
@@ -199,40 +201,40 @@
         !Worker.Worker_->hasLabel(Spec.Requirement_))
       return false;
     if (Step.Queue_->Advice_ &&
-        !Advised_.ticket(nameOf(Step), Worker.Worker_->Life_.Id_, Now_))
+        !Advised_.ticket(nameOf(Step), Worker.Worker_->Incarnation_.Id_, Now_))
       return false;
     return Spec.AntiAffinity_ == 0 ||
-           sameStepOn(Step, Worker) < Spec.AntiAffinity_;
+           runsOnWorker(Step, Worker) < Spec.AntiAffinity_;
   }
 
-  static bool better(const ReadyStep &Step, const Candidate &A,
-                     const Candidate &B) {
-    const auto Far = [&](const Candidate &C) {
+  static bool isBetter(const ReadyStep &Step, const Candidate &A,
+                       const Candidate &B) {
+    const auto FarFromData = [&](const Candidate &C) {
       return !Step.Spec_->DataRack_.empty() &&
              !C.Worker_->hasLabel(Step.Spec_->DataRack_);
     };
-    return std::make_tuple(A.Distrust_, Far(A), A.Free_.MilliCpus_) <
-           std::make_tuple(B.Distrust_, Far(B), B.Free_.MilliCpus_);
+    return std::make_tuple(A.Distrust_, FarFromData(A), A.Free_.MilliCpus_) <
+           std::make_tuple(B.Distrust_, FarFromData(B), B.Free_.MilliCpus_);
   }
 
-  using StepOnWorker =
-      std::tuple<jobs::JobId, std::uint32_t, std::uint32_t, jobs::WorkerLife>;
+  using StepOnWorker = std::tuple<jobs::JobId, std::uint32_t, std::uint32_t,
+                                  jobs::WorkerIncarnation>;
 
   static StepOnWorker keyOf(const ReadyStep &Step, const Candidate &Worker) {
     return {Step.Job_->Spec_.Id_, Step.Occurrence_, Step.Step_,
-            Worker.Worker_->Life_};
+            Worker.Worker_->Incarnation_};
   }
 
   /// Tasks of the step that may be running on the worker, in doubt included.
-  std::uint32_t sameStepOn(const ReadyStep &Step,
-                           const Candidate &Worker) const {
+  std::uint32_t runsOnWorker(const ReadyStep &Step,
+                             const Candidate &Worker) const {
     std::uint32_t Count = 0;
-    if (const auto Row = PerStep_.find(keyOf(Step, Worker));
-        Row != PerStep_.end())
+    if (const auto Row = PlannedPerWorker_.find(keyOf(Step, Worker));
+        Row != PlannedPerWorker_.end())
       Count = Row->second;
     for (const TaskRow &Task : Step.Row_->Tasks_)
       for (const jobs::LiveRun &Live : Task.Runs_)
-        Count += Live.On_ == Worker.Worker_->Life_;
+        Count += Live.Worker_ == Worker.Worker_->Incarnation_;
     return Count;
   }
 
@@ -241,9 +243,10 @@
     if (Row == Config_.Workspaces_.end())
       return true;
     Resources Used = Table_.usedBy(Row->first);
-    if (const auto More = Planned_.find(Row->first); More != Planned_.end())
+    if (const auto More = PlannedUsage_.find(Row->first);
+        More != PlannedUsage_.end())
       Used += More->second;
-    Used += Step.Spec_->Each_;
+    Used += Step.Spec_->PerTask_;
     const Resources &Most = Row->second.MaxAllowed_;
     return (Most.MilliCpus_ == 0 || Used.MilliCpus_ <= Most.MilliCpus_) &&
            (Most.MemoryMb_ == 0 || Used.MemoryMb_ <= Most.MemoryMb_) &&
@@ -257,8 +260,8 @@
   std::vector<Candidate> Workers_;
   TimePoint Now_;
   std::map<jobs::PoolName, std::vector<std::size_t>> ByPool_;
-  std::map<jobs::WorkspaceName, Resources> Planned_;
-  std::map<StepOnWorker, std::uint32_t> PerStep_;
+  std::map<jobs::WorkspaceName, Resources> PlannedUsage_;
+  std::map<StepOnWorker, std::uint32_t> PlannedPerWorker_;
 };
 
 /// Occurrences that are due by the wall clock.
@@ -277,15 +280,15 @@
 
 } // namespace
 
-TimePoint dueAt(const JobRow &Job, const QueueConfig &Queue,
-                const Estimates &Learned) {
-  const auto Chain = longestChain(Job.Spec_, Learned);
-  return Job.AcceptedAt_ + Queue.AimLatency_ +
+TimePoint deadlineOf(const JobRow &Job, const QueueConfig &Queue,
+                     const RunTimeEstimator &Estimator) {
+  const auto Chain = criticalPath(Job.Spec_, Estimator);
+  return Job.AcceptedAt_ + Queue.TargetLatency_ +
          Duration(static_cast<std::int64_t>(
              Queue.Stretch_ * static_cast<double>(Chain.count())));
 }
 
-Plan Scheduler::plan(std::vector<Candidate> Workers, Moment At) const {
+Plan Scheduler::plan(std::vector<Candidate> Workers, PlanTime At) const {
   std::vector<ReadyStep> Ready;
   for (const auto &[Order, Id] : Table_.open()) {
     const JobRow &Job = *Table_.find(Id);
@@ -295,20 +298,20 @@
     ReadyStep Base;
     Base.Job_ = &Job;
     Base.Queue_ = Queue;
-    bool Prepared = false;
+    bool JobPrepared = false;
     const std::uint32_t Due = dueOccurrences(Job.Spec_, At.WallMs_);
     for (std::uint32_t K = 0; K < Due; ++K)
       for (std::uint32_t S = 0; S < Job.Spec_.Steps_.size(); ++S) {
         const StepSpec &Spec = Job.Spec_.Steps_[S];
         const StepRow &Row = Job.Occurrences_[K].Steps_[S];
-        if (!hasIdle(Row, Spec) || !stepReady(Job.Occurrences_[K], Spec))
+        if (!hasIdleTask(Row, Spec) || !stepReady(Job.Occurrences_[K], Spec))
           continue;
-        if (!Prepared) {
-          Prepared = true;
-          Base.LatestBegin_ =
-              dueAt(Job, *Queue, Learned_) - chainLeft(Job, K, Learned_);
-          Base.Late_ = !Spec.LongRunning_ && At.Now_ > Base.LatestBegin_;
-          Base.WorkLeft_ = workLeft(Job, Learned_);
+        if (!JobPrepared) {
+          JobPrepared = true;
+          Base.LatestStart_ = deadlineOf(Job, *Queue, Estimator_) -
+                              remainingCriticalPath(Job, K, Estimator_);
+          Base.Late_ = !Spec.LongRunning_ && At.Now_ > Base.LatestStart_;
+          Base.RemainingCpuWork_ = remainingCpuWork(Job, Estimator_);
         }
         ReadyStep Step = Base;
         Step.Spec_ = &Spec;
@@ -318,11 +321,11 @@
         Ready.push_back(Step);
       }
   }
-  std::sort(Ready.begin(), Ready.end(), before);
+  std::sort(Ready.begin(), Ready.end(), runsBefore);
   Placement Places(Table_, Config_, Advised_, std::move(Workers), At.Now_);
   Plan Result;
   for (const ReadyStep &Step : Ready)
-    Result.LeftWaiting_ += Places.place(Step, Result);
+    Result.UnplacedTasks_ += Places.place(Step, Result);
   return Result;
 }
 
--- a/src/scheduling/pacer.h
+++ b/src/scheduling/pacer.h
@@ -7,7 +7,7 @@
 namespace laburnumspread::scheduling {
 
 /// A task that serves users, by its last report.
-struct ServingLoad {
+struct ServingLatency {
   std::int64_t TargetMs_ = 0;
   std::int64_t TailMs_ = 0;
 };
@@ -22,20 +22,20 @@
 class Pacer {
 public:
   /// Part of the target above which the pace is cut.
-  static constexpr double Near = 0.85;
+  static constexpr double CutAbove = 0.85;
   /// Part of the target below which it may be raised.
-  static constexpr double Calm = 0.65;
-  static constexpr int Raise = 10;
+  static constexpr double RaiseBelow = 0.65;
+  static constexpr int RaisePercent = 10;
   /// Below this a task is stopped rather than paced: half of little is nothing.
-  static constexpr int Least = 10;
-  static constexpr int Full = 100;
+  static constexpr int MinPercent = 10;
+  static constexpr int FullPercent = 100;
 
   /// The next pace after a report.
-  int next(const std::vector<ServingLoad> &Serving);
+  int update(const std::vector<ServingLatency> &Serving);
   int percent() const { return Percent_; }
 
 private:
-  int Percent_ = Full;
+  int Percent_ = FullPercent;
 };
 
 } // namespace laburnumspread::scheduling
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -3,7 +3,7 @@
 #include "jobs/cellconfig.h"
 #include "jobs/celltable.h"
 #include "scheduling/advicetable.h"
-#include "scheduling/estimates.h"
+#include "scheduling/runtimeestimator.h"
 #include "workers/workertypes.h"
 
 #include <vector>
@@ -26,7 +26,7 @@
   double Distrust_ = 0;
 };
 
-struct Moment {
+struct PlanTime {
   TimePoint Now_{};
   /// For jobs that are due at a time of day, in Unix milliseconds.
   std::int64_t WallMs_ = 0;
@@ -36,29 +36,30 @@
 struct Plan {
   std::vector<jobs::RunIntended> Starts_;
   /// Tasks that are ready but have found no worker.
-  std::size_t LeftWaiting_ = 0;
+  std::size_t UnplacedTasks_ = 0;
   /// Steps that may start only where the queue's advisor says, with tasks
   /// waiting, in the order in which they would start.
-  std::vector<StepName> WantAdvice_;
+  std::vector<StepName> AwaitingAdvice_;
 };
 
 /// When a job stops being in time: its stretched chain of work and the queue's
 /// aim after it was taken.
-TimePoint dueAt(const jobs::JobRow &Job, const jobs::QueueConfig &Queue,
-                const Estimates &Learned);
+TimePoint deadlineOf(const jobs::JobRow &Job, const jobs::QueueConfig &Queue,
+                     const RunTimeEstimator &Estimator);
 
 class Scheduler {
 public:
   Scheduler(const CellTable &Table, const CellConfig &Config,
-            const Estimates &Learned, const AdviceTable &Advised)
-      : Table_(Table), Config_(Config), Learned_(Learned), Advised_(Advised) {}
+            const RunTimeEstimator &Estimator, const AdviceTable &Advised)
+      : Table_(Table), Config_(Config), Estimator_(Estimator),
+        Advised_(Advised) {}
 
-  Plan plan(std::vector<Candidate> Workers, Moment At) const;
+  Plan plan(std::vector<Candidate> Workers, PlanTime At) const;
 
 private:
   const CellTable &Table_;
   const CellConfig &Config_;
-  const Estimates &Learned_;
+  const RunTimeEstimator &Estimator_;
   const AdviceTable &Advised_;
 };
 
--- a/src/scheduling/tests/advicetabletest.cpp
+++ b/src/scheduling/tests/advicetabletest.cpp
@@ -18,9 +18,9 @@
 
 BOOST_AUTO_TEST_CASE(TicketHoldsForItsTimeLessTheWay) {
   AdviceTable Table;
-  BOOST_TEST(Table.beginAsking(Step, Start));
-  BOOST_TEST(!Table.beginAsking(Step, Start));
-  Table.answered(Step, {{Good, "t"}}, 3000ms, Start);
+  BOOST_TEST(Table.beginRequest(Step, Start));
+  BOOST_TEST(!Table.beginRequest(Step, Start));
+  Table.recordAnswer(Step, {{Good, "t"}}, 3000ms, Start);
   BOOST_TEST(Table.ticket(Step, Good, Start).value_or("") == "t");
   BOOST_TEST(!Table.ticket(Step, Bad, Start));
   BOOST_TEST(!Table.ticket(Step, Good, Start + 2800ms));
@@ -28,31 +28,31 @@
 
 BOOST_AUTO_TEST_CASE(AskedAgainBeforeTheTicketsEnd) {
   AdviceTable Table;
-  Table.beginAsking(Step, Start);
-  Table.answered(Step, {{Good, "t"}}, 3000ms, Start);
-  BOOST_TEST(!Table.beginAsking(Step, Start + 1s));
-  BOOST_TEST(Table.beginAsking(Step, Start + 2500ms));
+  Table.beginRequest(Step, Start);
+  Table.recordAnswer(Step, {{Good, "t"}}, 3000ms, Start);
+  BOOST_TEST(!Table.beginRequest(Step, Start + 1s));
+  BOOST_TEST(Table.beginRequest(Step, Start + 2500ms));
 }
 
 BOOST_AUTO_TEST_CASE(NoWorkerOrNoAnswerIsAskedAgainSoon) {
   AdviceTable Table;
-  Table.beginAsking(Step, Start);
-  Table.answered(Step, {}, 3000ms, Start);
-  BOOST_TEST(!Table.beginAsking(Step, Start + 100ms));
-  BOOST_TEST(Table.beginAsking(Step, Start + 500ms));
-  Table.unanswered(Step, Start + 600ms);
-  BOOST_TEST(Table.beginAsking(Step, Start + 1100ms));
+  Table.beginRequest(Step, Start);
+  Table.recordAnswer(Step, {}, 3000ms, Start);
+  BOOST_TEST(!Table.beginRequest(Step, Start + 100ms));
+  BOOST_TEST(Table.beginRequest(Step, Start + 500ms));
+  Table.recordNoAnswer(Step, Start + 600ms);
+  BOOST_TEST(Table.beginRequest(Step, Start + 1100ms));
 }
 
 // A worker was replaced under its id: its ticket is refused, and the step must
 // not be sent there again and again.
 BOOST_AUTO_TEST_CASE(RefusedTicketIsNotUsedAgain) {
   AdviceTable Table;
-  Table.beginAsking(Step, Start);
-  Table.answered(Step, {{Good, "t"}}, 3000ms, Start);
-  Table.refused(Step, Good);
+  Table.beginRequest(Step, Start);
+  Table.recordAnswer(Step, {{Good, "t"}}, 3000ms, Start);
+  Table.recordRefusal(Step, Good);
   BOOST_TEST(!Table.ticket(Step, Good, Start));
-  BOOST_TEST(Table.beginAsking(Step, Start));
+  BOOST_TEST(Table.beginRequest(Step, Start));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/scheduling/tests/pacertest.cpp
+++ b/src/scheduling/tests/pacertest.cpp
@@ -8,23 +8,23 @@
 
 BOOST_AUTO_TEST_CASE(FullSpeedWhileNobodyIsNearTheTarget) {
   Pacer Pace;
-  BOOST_TEST(Pace.next({}) == Pacer::Full);
-  BOOST_TEST(Pace.next({{100, 30}, {200, 120}}) == Pacer::Full);
+  BOOST_TEST(Pace.update({}) == Pacer::FullPercent);
+  BOOST_TEST(Pace.update({{100, 30}, {200, 120}}) == Pacer::FullPercent);
 }
 
 BOOST_AUTO_TEST_CASE(CutByHalfUntilItStandsStill) {
   Pacer Pace;
-  BOOST_TEST(Pace.next({{100, 90}}) == 50);
-  BOOST_TEST(Pace.next({{100, 120}}) == 25);
-  BOOST_TEST(Pace.next({{100, 120}}) == 12);
-  BOOST_TEST(Pace.next({{100, 120}}) == 0);
+  BOOST_TEST(Pace.update({{100, 90}}) == 50);
+  BOOST_TEST(Pace.update({{100, 120}}) == 25);
+  BOOST_TEST(Pace.update({{100, 120}}) == 12);
+  BOOST_TEST(Pace.update({{100, 120}}) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(RaisedSlowlyAndKeptInBetween) {
   Pacer Pace;
-  Pace.next({{100, 90}});
-  BOOST_TEST(Pace.next({{100, 75}}) == 50);
-  BOOST_TEST(Pace.next({{100, 50}}) == 60);
+  Pace.update({{100, 90}});
+  BOOST_TEST(Pace.update({{100, 75}}) == 50);
+  BOOST_TEST(Pace.update({{100, 50}}) == 60);
 }
 
 // Service that a filling task slows down by its pace settles below the target
@@ -37,7 +37,7 @@
     const std::int64_t Tail = 40 + Percent;
     OverInRow = Tail > 100 ? OverInRow + 1 : 0;
     BOOST_TEST(OverInRow < 4);
-    Percent = Pace.next({{100, Tail}});
+    Percent = Pace.update({{100, Tail}});
     Worked += Percent;
   }
   BOOST_TEST(Worked > 200 * 20);
--- a/src/scheduling/tests/estimatestest.cpp
+++ b/src/scheduling/tests/runtimeestimatortest.cpp
@@ -1,4 +1,4 @@
-#include "scheduling/estimates.h"
+#include "scheduling/runtimeestimator.h"
 
 #include <cmath>
 #include <random>
@@ -39,10 +39,10 @@
 /// Mean error of the logarithm over 2,000 tasks, after 200 others.
 std::pair<double, double> errors(double Off) {
   Tasks Source(Off);
-  Estimates Learned;
+  RunTimeEstimator Estimator;
   for (int I = 0; I < 200; ++I) {
     const auto [Told, True] = Source.next();
-    Learned.note(Queue, Told, True);
+    Estimator.recordRun(Queue, Told, True);
   }
   double Ours = 0, Callers = 0;
   for (int I = 0; I < 2000; ++I) {
@@ -50,7 +50,8 @@
     const auto Log = [](jobs::Duration Time) {
       return std::log(static_cast<double>(Time.count()));
     };
-    Ours += std::abs(Log(Learned.of(Queue, declared(Told))) - Log(True));
+    Ours += std::abs(Log(Estimator.expectedRunTime(Queue, declared(Told))) -
+                     Log(True));
     Callers += std::abs(Log(Told) - Log(True));
   }
   return {Ours / 2000, Callers / 2000};
@@ -58,15 +59,15 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(EstimatesTest)
+BOOST_AUTO_TEST_SUITE(RunTimeEstimatorTest)
 
 BOOST_AUTO_TEST_CASE(DeclaredTimesHoldUntilSomeRunsAreKnown) {
-  Estimates Learned;
-  for (std::uint64_t I = 1; I < Estimates::FewRuns; ++I)
-    Learned.note(Queue, 1s, 5s);
-  BOOST_TEST((Learned.of(Queue, declared(1s)) == 1s));
-  Learned.note(Queue, 1s, 5s);
-  BOOST_TEST((Learned.of(Queue, declared(1s)) > 4900ms));
+  RunTimeEstimator Estimator;
+  for (std::uint64_t I = 1; I < RunTimeEstimator::MinRuns; ++I)
+    Estimator.recordRun(Queue, 1s, 5s);
+  BOOST_TEST((Estimator.expectedRunTime(Queue, declared(1s)) == 1s));
+  Estimator.recordRun(Queue, 1s, 5s);
+  BOOST_TEST((Estimator.expectedRunTime(Queue, declared(1s)) > 4900ms));
 }
 
 // Callers whose jobs are declared too short are put behind the others as late,
@@ -83,11 +84,11 @@
 }
 
 BOOST_AUTO_TEST_CASE(RunThatHungChangesLittle) {
-  Estimates Learned;
+  RunTimeEstimator Estimator;
   for (int I = 0; I < 100; ++I)
-    Learned.note(Queue, 1s, 1s);
-  Learned.note(Queue, 1s, 60s);
-  BOOST_TEST((Learned.of(Queue, declared(1s)) < 1100ms));
+    Estimator.recordRun(Queue, 1s, 1s);
+  Estimator.recordRun(Queue, 1s, 60s);
+  BOOST_TEST((Estimator.expectedRunTime(Queue, declared(1s)) < 1100ms));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/scheduling/tests/schedulertest.cpp
+++ b/src/scheduling/tests/schedulertest.cpp
@@ -20,7 +20,7 @@
 StepSpec step(std::uint32_t Count, std::int64_t Cpu) {
   StepSpec Result;
   Result.Count_ = Count;
-  Result.Each_ = {Cpu, 100, 0};
+  Result.PerTask_ = {Cpu, 100, 0};
   Result.Estimate_ = 1000ms;
   return Result;
 }
@@ -31,7 +31,7 @@
     Item.Name_ = Queue;
     Item.Pool_ = Pool;
     Item.Stretch_ = 1.6;
-    Item.AimLatency_ = 600ms;
+    Item.TargetLatency_ = 600ms;
     Config_.Queues_ = {Item};
   }
 
@@ -49,17 +49,17 @@
               std::vector<jobs::Label> Labels = {}) {
     Records_.emplace_back();
     workers::WorkerRecord &Record = Records_.back();
-    Record.Life_ = {jobs::WorkerId(Id), 1};
+    Record.Incarnation_ = {jobs::WorkerId(Id), 1};
     Record.Pool_ = Pool;
-    Record.Room_ = {Cpu, 100000, 8};
+    Record.Capacity_ = {Cpu, 100000, 8};
     Record.Labels_ = std::move(Labels);
   }
 
   std::vector<jobs::RunIntended> plan(TimePoint Now = Start) {
     std::vector<Candidate> Workers;
     for (const workers::WorkerRecord &Record : Records_)
-      Workers.push_back({&Record, Record.Room_, 0});
-    return Scheduler(Table_, Config_, Learned_, Advised_)
+      Workers.push_back({&Record, Record.Capacity_, 0});
+    return Scheduler(Table_, Config_, Estimator_, Advised_)
         .plan(std::move(Workers), {Now, 1'000'000})
         .Starts_;
   }
@@ -74,7 +74,7 @@
 
   CellTable Table_;
   CellConfig Config_;
-  Estimates Learned_;
+  RunTimeEstimator Estimator_;
   AdviceTable Advised_;
   std::deque<workers::WorkerRecord> Records_;
 };
@@ -205,11 +205,11 @@
   job("a", {step(2, 100)});
   BOOST_TEST(plan().empty());
   const StepName Step{JobId("a"), 0, 0};
-  Advised_.beginAsking(Step, Start);
-  Advised_.answered(Step, {{jobs::WorkerId("v"), "t"}}, 3s, Start);
+  Advised_.beginRequest(Step, Start);
+  Advised_.recordAnswer(Step, {{jobs::WorkerId("v"), "t"}}, 3s, Start);
   const auto Starts = plan();
   BOOST_REQUIRE(Starts.size() == 2u);
-  BOOST_TEST(Starts[0].On_.Id_ == jobs::WorkerId("v"));
+  BOOST_TEST(Starts[0].Worker_.Id_ == jobs::WorkerId("v"));
 }
 
 BOOST_AUTO_TEST_CASE(FillersCountNoProcessor) {
--- a/src/workers/workertypes.h
+++ b/src/workers/workertypes.h
@@ -19,16 +19,16 @@
 using jobs::Resources;
 using jobs::WaveNumber;
 using jobs::WorkerId;
-using jobs::WorkerLife;
+using jobs::WorkerIncarnation;
 
 /// A worker as it reports itself in the platform's store.
 struct WorkerRecord {
-  WorkerLife Life_;
+  WorkerIncarnation Incarnation_;
   PoolName Pool_;
   Address Address_;
   ZoneName Zone_;
   bool Draining_ = false;
-  Resources Room_;
+  Resources Capacity_;
   std::vector<Label> Labels_;
   MachineId Machine_;
   /// While it drains: least time that is left.
@@ -46,7 +46,7 @@
   MachineState State_ = MachineState::Down;
   ZoneName Zone_;
   std::vector<Label> Labels_;
-  Resources Room_;
+  Resources Capacity_;
   WorkerId Worker_;
 };
 
