--- a/src/app/internal/cellapp.cpp
+++ b/src/app/internal/cellapp.cpp
@@ -1,8 +1,8 @@
 #include "app/cellapp.h"
 
+#include "cell/callergateway.h"
 #include "cell/cellservice.h"
 #include "cell/configfollower.h"
-#include "cell/intake.h"
 #include "framework/fibers/spawn.h"
 #include "framework/http/httpserver.h"
 #include "peers/peermesh.h"
@@ -53,9 +53,9 @@
 
   Parts(boost::asio::io_context &Io, CellSettings Settings)
       : Settings_(std::move(Settings)), Self_(selfOf(Settings_)),
-        Store_(Io, Settings_.Store_), Workers_(Io),
-        Machines_(Io, Settings_.Machines_, Settings_.Name_.str()),
-        Advisor_(Io, Settings_.Advisor_),
+        Store_(Io, Settings_.StoreAddress_), Workers_(Io),
+        Machines_(Io, Settings_.MachineApiAddress_, Settings_.Name_.str()),
+        Advisor_(Io, Settings_.AdvisorAddress_),
         Cell_(
             Store_, Workers_, Machines_,
             {std::string(platform::WorkersPrefix), platform::readWorker},
@@ -74,7 +74,7 @@
                Cell_.handle(Call, Reply);
              },
              [this] { return Cell_.leads(); },
-             [this] { return Cell_.holder(); },
+             [this] { return Cell_.leader(); },
              [this](const journal::Holder &Seen) {
                return Seen.Entry_ == Self_.Name_ &&
                       Seen.Incarnation_ == Self_.Incarnation_;
@@ -82,13 +82,13 @@
              [this](const journal::Holder &To, const peers::JobCall &Call) {
                Mesh_.send({To.Entry_, To.Incarnation_}, To.PeerAddress_, Call);
              }}),
-        Intake_(Router_, platform::readJob, Metrics_),
+        Gateway_(Router_, platform::readJob, Metrics_),
         Follower_(Store_, std::string(platform::OperatorPrefix),
-                  {[this] { Intake_.confirmConfig(); },
+                  {[this] { Gateway_.confirmConfig(); },
                    [this](const store::KeyValue &Item) { adopt(Item); },
-                   [this] { return Intake_.outdated(); }},
+                   [this] { return Gateway_.outdated(); }},
                   Metrics_),
-        Api_(Intake_),
+        Api_(Gateway_),
         Mesh_(Io, Self_, Settings_.PeerKeys_,
               [this](const peers::Sender &From, peers::Message &&Body) {
                 receive(From, Body);
@@ -125,22 +125,22 @@
 
   void refreshGauges() {
     Metrics_.gauge("config_version")
-        .set(static_cast<double>(Intake_.config().Version_.value()));
+        .set(static_cast<double>(Gateway_.config().Version_.value()));
     Metrics_.gauge("config_newest_known_version")
-        .set(static_cast<double>(Intake_.newestKnownVersion().value()));
+        .set(static_cast<double>(Gateway_.newestKnownVersion().value()));
     Metrics_.gauge("config_confirmed_age_seconds")
-        .set(std::chrono::duration<double>(Intake_.configAge()).count());
+        .set(std::chrono::duration<double>(Gateway_.configAge()).count());
     Metrics_.gauge("ready").set(ready() ? 1 : 0);
     Metrics_.gauge("leads").set(Cell_.leads() ? 1 : 0);
     Metrics_.gauge("store_calls").set(static_cast<double>(Store_.calls()));
     Metrics_.gauge("caller_requests_in_flight")
         .set(static_cast<double>(InFlight_));
-    Cell_.fillGauges(Metrics_);
+    Cell_.publishGauges(Metrics_);
   }
 
   bool ready() const {
-    return !Leaving_ && Intake_.config().Version_.value() > 0 &&
-           Intake_.recentlyConfirmed();
+    return !Leaving_ && Gateway_.config().Version_.value() > 0 &&
+           Gateway_.recentlyConfirmed();
   }
 
   void offerLeadership(const peers::HeadOffer &Offer) {
@@ -151,14 +151,14 @@
   void receive(const peers::Sender &From, const peers::Message &Body) {
     Heard_[From.Id_.Name_] = From;
     if (const auto *Offer = std::get_if<peers::HeadOffer>(&Body))
-      return Cell_.takeOffer(*Offer);
+      return Cell_.handleOffer(*Offer);
     if (const auto *Call = std::get_if<peers::JobCall>(&Body)) {
-      Intake_.recordPeerVersion(jobs::ConfigVersion(Call->ConfigVersion_));
+      Gateway_.recordPeerVersion(jobs::ConfigVersion(Call->ConfigVersion_));
       Cell_.handle(*Call, [this, From](const peers::JobReply &Reply) {
         Mesh_.send(From.Id_, From.Address_, Reply);
       });
     } else if (const auto *Reply = std::get_if<peers::JobReply>(&Body))
-      Router_.take(*Reply);
+      Router_.handleReply(*Reply);
   }
 
   void adopt(const store::KeyValue &Item) {
@@ -173,13 +173,13 @@
           .field("reason", std::string(Next.status().message()));
       return;
     }
-    if (Next->Version_ <= Intake_.config().Version_)
+    if (Next->Version_ <= Gateway_.config().Version_)
       return;
     framework::log::info("config.in_force")
         .field("version", Next->Version_.value())
-        .field("before", Intake_.config().Version_.value())
+        .field("before", Gateway_.config().Version_.value())
         .field("queues", static_cast<std::uint64_t>(Next->Queues_.size()));
-    Intake_.setConfig(*Next);
+    Gateway_.setConfig(*Next);
     Cell_.setConfig(*Next);
   }
 
@@ -192,7 +192,7 @@
   platform::AdvisorClient Advisor_;
   Service Cell_;
   cell::CallRouter Router_;
-  cell::Intake Intake_;
+  cell::CallerGateway Gateway_;
   cell::ConfigFollower<platform::KvStore> Follower_;
   platform::CallerApi Api_;
   peers::PeerMesh Mesh_;
@@ -213,18 +213,18 @@
 absl::Status CellApp::start() {
   Parts &P = *Parts_;
   if (absl::Status Bound = P.Mesh_.bind(
-          P.Settings_.Peers_,
-          P.Settings_.PeersAdvertised_.value_or(P.Settings_.Peers_));
+          P.Settings_.PeerAddress_, P.Settings_.AdvertisedPeerAddress_.value_or(
+                                        P.Settings_.PeerAddress_));
       !Bound.ok())
     return Bound;
   const std::array<std::pair<framework::http::Server *, cell::Address>, 3>
-      Servers = {{{&P.Callers_, P.Settings_.Callers_},
-                  {&P.Readiness_, P.Settings_.Readiness_},
-                  {&P.MetricsServer_, P.Settings_.Metrics_}}};
+      Servers = {{{&P.Callers_, P.Settings_.CallerAddress_},
+                  {&P.Readiness_, P.Settings_.ReadinessAddress_},
+                  {&P.MetricsServer_, P.Settings_.MetricsAddress_}}};
   for (const auto &[Server, At] : Servers)
     if (absl::Status Bound = Server->listen(At); !Bound.ok())
       return Bound;
-  P.Cell_.setOffer(
+  P.Cell_.setOfferSender(
       [&P](const peers::HeadOffer &Offer) { P.offerLeadership(Offer); });
   P.Cell_.start(P.Mesh_.advertised().str());
   framework::fibers::spawn([&P] { P.Follower_.follow(); });
@@ -236,10 +236,10 @@
   framework::log::info("entry.leaving")
       .field("in_flight", static_cast<std::uint64_t>(P.InFlight_));
   P.Leaving_ = true;
-  P.Cell_.leave();
+  P.Cell_.handOver();
   const TimePoint Noticed = SteadyClock().now() + NoticeTime;
   const TimePoint Last =
-      SteadyClock().now() + P.Settings_.Bounds_.Grace_ - 1500ms;
+      SteadyClock().now() + P.Settings_.Bounds_.GracePeriod_ - 1500ms;
   while (SteadyClock().now() < Noticed ||
          (P.InFlight_ > 0 && SteadyClock().now() < Last))
     sleepFor(InFlightCheck);
@@ -265,7 +265,7 @@
       .field("entry", InForce.Name_.str())
       .field("bounds_changed",
              InForce.Bounds_ == Settings.Bounds_ ? "no" : "yes")
-      .field("need_restart", cell::needRestart(InForce, Settings));
+      .field("need_restart", cell::settingsNeedingRestart(InForce, Settings));
   InForce.LogLevel_ = Settings.LogLevel_;
   InForce.Bounds_ = Settings.Bounds_;
 }
@@ -274,9 +274,9 @@
   const Parts &P = *Parts_;
   boost::json::object Into{
       {"entry", P.Settings_.Name_.str()},
-      {"configVersion", P.Intake_.config().Version_.value()},
+      {"configVersion", P.Gateway_.config().Version_.value()},
       {"leads", P.Cell_.leads()},
-      {"holder", P.Cell_.holder().Entry_.str()},
+      {"holder", P.Cell_.leader().Entry_.str()},
       {"storeCalls", P.Store_.calls()}};
   if (const auto &Term = P.Cell_.term()) {
     Into["token"] = Term->Token_.value();
--- a/src/app/laburnumspreadd.cpp
+++ b/src/app/laburnumspreadd.cpp
@@ -141,7 +141,7 @@
     return cannotStart(Started);
   framework::log::info("entry.listening")
       .field("entry", Settings.Name_.str())
-      .field("callers", Settings.Callers_.str());
+      .field("callers", Settings.CallerAddress_.str());
   const auto Reload = [File, &App] {
     const auto Fresh = cell::loadCellSettings(File);
     if (!Fresh.ok())
--- a/src/cell/intake.h
+++ b/src/cell/callergateway.h
@@ -17,7 +17,7 @@
   std::string Path_;
   std::string Key_;
   /// How long the caller waits for the answer.
-  Duration Patience_{};
+  Duration Timeout_{};
   std::string Body_;
 };
 
@@ -34,7 +34,7 @@
   Malformed,
   /// Not taken, and this attempt never will be; RetryAfter_ says when to come
   /// again.
-  NotNow,
+  TryLater,
   /// Whether it was taken is not known.
   Unknown,
 };
@@ -50,7 +50,7 @@
 
 /// Lets callers in by the configuration in force, and passes what they ask to
 /// the holder of the cell.
-class Intake {
+class CallerGateway {
 public:
   /// Reads a job's body; the names in it are the platform's.
   using ReadJob =
@@ -59,19 +59,19 @@
   /// How long a call may wait for a holder to appear. A takeover after a
   /// planned stop takes some tens of milliseconds; after a crash it takes
   /// seconds, and the caller had better come again.
-  static constexpr Duration HolderPatience = std::chrono::milliseconds(80);
+  static constexpr Duration LeaderWait = std::chrono::milliseconds(80);
   /// How long a call may wait for the holder's reply: far more than a commit
   /// takes while the store answers, well within what a caller has.
-  static constexpr Duration ReplyPatience = std::chrono::milliseconds(1000);
+  static constexpr Duration ReplyTimeout = std::chrono::milliseconds(1000);
   /// Kept back from the caller's patience for the way of the answer.
   static constexpr Duration AnswerMargin = std::chrono::milliseconds(100);
   static constexpr Duration RetryAfter = std::chrono::seconds(1);
   /// A configuration that has not been confirmed for this long may be out of
   /// date: keys may have been withdrawn or queues added since.
-  static constexpr Duration ConfigStale = std::chrono::seconds(3);
+  static constexpr Duration MaxConfigAge = std::chrono::seconds(3);
 
-  Intake(CallRouter &Router, ReadJob Read,
-         framework::metrics::Registry &Metrics)
+  CallerGateway(CallRouter &Router, ReadJob Read,
+                framework::metrics::Registry &Metrics)
       : Router_(Router), ReadJob_(std::move(Read)), Metrics_(Metrics) {}
 
   void setConfig(const CellConfig &Config) { Config_ = Config; }
@@ -89,8 +89,8 @@
   }
   /// Whether a peer has a newer configuration than this entry.
   bool outdated() const { return newestKnownVersion() > Config_.Version_; }
-  /// Whether the store confirmed the configuration within ConfigStale.
-  bool recentlyConfirmed() const { return configAge() < ConfigStale; }
+  /// Whether the store confirmed the configuration within MaxConfigAge.
+  bool recentlyConfirmed() const { return configAge() < MaxConfigAge; }
   /// Time since the configuration in force was last confirmed.
   Duration configAge() const {
     return framework::clock::SteadyClock().now() - ConfirmedAt_;
@@ -100,12 +100,12 @@
   CallerAnswer serve(const CallerRequest &Request);
 
 private:
-  CallerAnswer answerTo(const CallerRequest &Request);
+  CallerAnswer handle(const CallerRequest &Request);
   CallerAnswer submit(const CallerRequest &Request, const QueueConfig &Queue,
                       const std::string &Job);
-  CallerAnswer pass(const CallerRequest &Request, peers::JobCall Call);
-  /// Answers with \p Status, or with NotNow if the configuration may be out of
-  /// date, since callers treat NoSuchQueue and UnknownKey as final.
+  CallerAnswer forward(const CallerRequest &Request, peers::JobCall Call);
+  /// Answers with \p Status, or with TryLater if the configuration may be out
+  /// of date, since callers treat NoSuchQueue and UnknownKey as final.
   CallerAnswer refuse(CallerStatus Status, std::string Detail) const;
 
   CallRouter &Router_;
--- a/src/cell/callrouter.h
+++ b/src/cell/callrouter.h
@@ -16,19 +16,19 @@
 using framework::clock::TimePoint;
 
 /// What may have become of a call that was sent once or more.
-class CallFate {
+class CallAttempts {
 public:
-  void sent() { ++Open_; }
+  void sent() { ++Unrejected_; }
   /// One of the sent calls was turned down unread.
-  void turnedDown() {
-    if (Open_ > 0)
-      --Open_;
+  void rejected() {
+    if (Unrejected_ > 0)
+      --Unrejected_;
   }
   /// Whether some holder may have taken the call, or may yet.
-  bool mayBeTaken() const { return Open_ > 0; }
+  bool mayHaveBeenAccepted() const { return Unrejected_ > 0; }
 
 private:
-  std::uint32_t Open_ = 0;
+  std::uint32_t Unrejected_ = 0;
 };
 
 /// Brings callers' requests to the holder of the cell, wherever it is, and its
@@ -39,30 +39,30 @@
   using ReplyFn = std::function<void(const peers::JobReply &)>;
 
   /// How calls leave and where the holder is.
-  struct Paths {
+  struct Routes {
     /// Serves the call in this process if it leads.
-    std::function<void(const peers::JobCall &, const ReplyFn &)> Local_;
-    std::function<bool()> LeadsHere_;
-    std::function<journal::Holder()> Holder_;
+    std::function<void(const peers::JobCall &, const ReplyFn &)> HandleLocally_;
+    std::function<bool()> IsLeader_;
+    std::function<journal::Holder()> Leader_;
     /// Whether a holder is this very process.
-    std::function<bool(const journal::Holder &)> IsHere_;
+    std::function<bool(const journal::Holder &)> IsThisProcess_;
     std::function<void(const journal::Holder &, const peers::JobCall &)> Send_;
   };
 
   /// A reply takes some milliseconds between availability zones, and a commit
   /// as many; a letter that was dropped is sent again after this.
-  static constexpr Duration ResendEvery = std::chrono::milliseconds(120);
+  static constexpr Duration ResendInterval = std::chrono::milliseconds(120);
 
-  explicit CallRouter(Paths P) : Paths_(std::move(P)) {}
+  explicit CallRouter(Routes P) : Routes_(std::move(P)) {}
 
-  /// Waits for the outcome. Without a holder by \p HolderBy, or at \p Deadline,
-  /// the verdict is Refused if surely none has taken the call; else it is
-  /// Unknown at \p Deadline.
-  peers::JobReply call(peers::JobCall Call, TimePoint HolderBy,
+  /// Waits for the outcome. Without a holder by \p LeaderDeadline, or at \p
+  /// Deadline, the verdict is Refused if surely none has taken the call; else
+  /// it is Unknown at \p Deadline.
+  peers::JobReply call(peers::JobCall Call, TimePoint LeaderDeadline,
                        TimePoint Deadline);
 
   /// Takes a reply that has come from the holder.
-  void take(const peers::JobReply &Reply);
+  void handleReply(const peers::JobReply &Reply);
 
 private:
   struct Pending {
@@ -70,7 +70,7 @@
     std::optional<peers::JobReply> Reply_;
   };
 
-  Paths Paths_;
+  Routes Routes_;
   std::uint64_t Next_ = 1;
   std::map<std::uint64_t, std::shared_ptr<Pending>> Pending_;
 };
--- a/src/cell/candidacy.h
+++ b/src/cell/candidacy.h
@@ -14,13 +14,13 @@
 public:
   /// Wait of an entry that is far weaker than the strongest: some times what a
   /// campaign takes, a fraction of the lease that ran out before.
-  static constexpr framework::clock::Duration LongestWait =
+  static constexpr framework::clock::Duration MaxCampaignDelay =
       std::chrono::milliseconds(250);
   /// Least wait of a weaker entry: a campaign takes three calls to the store.
-  static constexpr framework::clock::Duration LeastWait =
+  static constexpr framework::clock::Duration MinCampaignDelay =
       std::chrono::milliseconds(40);
   /// Weights within this part of each other count as equal.
-  static constexpr double Alike = 0.1;
+  static constexpr double EqualWeightTolerance = 0.1;
 
   /// \p Cores: processor time of the entry, in cores; \p LinkMbps: its link.
   static double weightOf(double Cores, double LinkMbps);
@@ -28,12 +28,12 @@
   explicit Candidacy(double Weight) : Weight_(Weight) {}
 
   /// An entry's own word of its weight.
-  void note(const std::string &Entry, double Weight) {
+  void recordWeight(const std::string &Entry, double Weight) {
     Others_[Entry] = Weight;
   }
 
   /// How long to wait before a campaign for a cell without holder.
-  framework::clock::Duration wait() const;
+  framework::clock::Duration campaignDelay() const;
 
   double weight() const { return Weight_; }
 
--- a/src/cell/cellsettings.h
+++ b/src/cell/cellsettings.h
@@ -15,20 +15,20 @@
   fleet::EntryName Name_;
   ZoneName Zone_;
   /// Where callers connect.
-  Address Callers_;
+  Address CallerAddress_;
   /// Where the platform asks whether the entry takes callers.
-  Address Readiness_;
+  Address ReadinessAddress_;
   /// Where other entries connect.
-  Address Peers_;
+  Address PeerAddress_;
   /// The address that they are told, if it is another: something between passes
   /// connections on.
-  std::optional<Address> PeersAdvertised_;
-  Address Metrics_;
-  Address Store_;
+  std::optional<Address> AdvertisedPeerAddress_;
+  Address MetricsAddress_;
+  Address StoreAddress_;
   /// The platform's API for machines; no port when there is none.
-  Address Machines_;
+  Address MachineApiAddress_;
   /// The service that says which workers may run a step; no port for none.
-  Address Advisor_;
+  Address AdvisorAddress_;
   std::string StorePrefix_;
   /// Processor time of the entry, in cores, and the width of its link.
   double Cores_ = 1;
@@ -47,6 +47,7 @@
 
 /// Groups of fields in which \p Fresh differs and that an entry takes up only
 /// when it starts; empty for none.
-std::string needRestart(const CellSettings &InForce, const CellSettings &Fresh);
+std::string settingsNeedingRestart(const CellSettings &InForce,
+                                   const CellSettings &Fresh);
 
 } // namespace laburnumspread::cell
--- a/src/cell/celltypes.h
+++ b/src/cell/celltypes.h
@@ -40,16 +40,16 @@
 /// Bounds that the platform promises or asks for.
 struct CellBounds {
   /// Longest lease that a worker grants to what runs on it.
-  Duration LongestHold_ = std::chrono::milliseconds(6000);
-  Duration StatusKept_ = std::chrono::seconds(120);
+  Duration MaxLease_ = std::chrono::milliseconds(6000);
+  Duration StatusRetention_ = std::chrono::seconds(120);
   Duration GangTimeout_ = std::chrono::milliseconds(3000);
   /// Least time between the machine orders of two holders.
-  Duration MachineLease_ = std::chrono::milliseconds(3000);
+  Duration MachineOrderLease_ = std::chrono::milliseconds(3000);
   /// Gives a job's data far away this many times the run time.
-  double FarFactor_ = 3;
-  Duration Move_ = std::chrono::milliseconds(1500);
-  Duration Upkeep_ = std::chrono::milliseconds(2000);
-  Duration Grace_ = std::chrono::seconds(6);
+  double RemoteDataFactor_ = 3;
+  Duration MoveDuration_ = std::chrono::milliseconds(1500);
+  Duration UpkeepDuration_ = std::chrono::milliseconds(2000);
+  Duration GracePeriod_ = std::chrono::seconds(6);
 
   bool operator==(const CellBounds &) const = default;
 };
@@ -87,7 +87,7 @@
   std::string_view Payload_;
   std::int64_t DeadlineMs_ = 0;
   jobs::FencingToken Token_;
-  jobs::Checkpoint From_;
+  jobs::Checkpoint ResumeFrom_;
   std::string Ticket_;
 };
 
@@ -96,20 +96,20 @@
   std::int64_t DeadlineMs_ = 0;
   jobs::FencingToken Token_;
   /// Ends up to this number have been taken note of.
-  std::uint64_t LastSeen_ = 0;
+  std::uint64_t AcknowledgedEnds_ = 0;
   Duration Wait_{};
 };
 
-struct RunningRow {
+struct RunningReport {
   jobs::RunName Run_;
   jobs::Checkpoint Saved_;
   int Percent_ = 0;
   /// Tail latency in milliseconds of a task that serves, else the processor
   /// use in thousandths of a core.
-  std::int64_t Figure_ = 0;
+  std::int64_t Measurement_ = 0;
 };
 
-struct EndRow {
+struct EndReport {
   std::uint64_t Number_ = 0;
   jobs::RunName Run_;
   jobs::EndKind Kind_ = jobs::EndKind::Lost;
@@ -119,8 +119,8 @@
 struct HoldReply {
   OrderResult Result_ = OrderResult::Unknown;
   std::int64_t ClockMs_ = 0;
-  std::vector<RunningRow> Running_;
-  std::vector<EndRow> Ends_;
+  std::vector<RunningReport> Running_;
+  std::vector<EndReport> Ends_;
 };
 
 /// Orders to a worker. Every answer carries what is known for certain.
--- a/src/cell/commitqueue.h
+++ b/src/cell/commitqueue.h
@@ -27,7 +27,7 @@
 
   /// Least time between two commits: several hundred events a second then
   /// share some sixty writes, a sixth of the platform's smallest allowance.
-  static constexpr framework::clock::Duration LeastInterval =
+  static constexpr framework::clock::Duration MinCommitInterval =
       std::chrono::milliseconds(16);
 
   CommitQueue(jobs::CellTable &Table, journal::Journal<Store> &Log,
@@ -70,7 +70,7 @@
       BeforeGroup();
       if (Events_.empty())
         continue;
-      Next = framework::clock::SteadyClock().now() + LeastInterval;
+      Next = framework::clock::SteadyClock().now() + MinCommitInterval;
       if (!commitGroup())
         break;
       if (Log_.wantsSnapshot() && !Log_.writeSnapshot(Table_).ok())
@@ -80,7 +80,7 @@
   }
 
   void wake() {
-    Wanted_ = true;
+    WorkPending_ = true;
     if (Wake_)
       Wake_->signal();
   }
@@ -98,11 +98,11 @@
 
 private:
   void waitForWork() {
-    while (!Wanted_ && !Stopped_) {
+    while (!WorkPending_ && !Stopped_) {
       Wake_ = std::make_shared<framework::fibers::Waiter>();
       Wake_->waitUntil(framework::clock::wallDeadline(std::chrono::seconds(1)));
     }
-    Wanted_ = false;
+    WorkPending_ = false;
   }
 
   bool commitGroup() {
@@ -146,7 +146,7 @@
   std::vector<Callback> Callbacks_;
   std::vector<Callback> InFlight_;
   framework::fibers::WaiterPtr Wake_;
-  bool Wanted_ = false;
+  bool WorkPending_ = false;
   bool Committing_ = false;
   bool Stopped_ = false;
 };
--- a/src/cell/internal/intake.cpp
+++ b/src/cell/internal/callergateway.cpp
@@ -1,4 +1,4 @@
-#include "cell/intake.h"
+#include "cell/callergateway.h"
 
 #include "framework/log/log.h"
 #include "jobs/eventcodec.h"
@@ -28,9 +28,9 @@
   return Result;
 }
 
-CallerAnswer notNow(std::string Detail) {
-  CallerAnswer Result = answer(CallerStatus::NotNow, std::move(Detail));
-  Result.RetryAfter_ = Intake::RetryAfter;
+CallerAnswer tryLater(std::string Detail) {
+  CallerAnswer Result = answer(CallerStatus::TryLater, std::move(Detail));
+  Result.RetryAfter_ = CallerGateway::RetryAfter;
   return Result;
 }
 
@@ -57,7 +57,7 @@
     return "unknown_key";
   case CallerStatus::Malformed:
     return "malformed";
-  case CallerStatus::NotNow:
+  case CallerStatus::TryLater:
     return "not_now";
   case CallerStatus::Unknown:
     return "unknown";
@@ -65,15 +65,16 @@
   return "unknown";
 }
 
-CallerAnswer Intake::refuse(CallerStatus Status, std::string Detail) const {
+CallerAnswer CallerGateway::refuse(CallerStatus Status,
+                                   std::string Detail) const {
   if (outdated() || !recentlyConfirmed())
-    return notNow("the configuration of this entry is not current");
+    return tryLater("the configuration of this entry is not current");
   return answer(Status, std::move(Detail));
 }
 
-CallerAnswer Intake::serve(const CallerRequest &Request) {
+CallerAnswer CallerGateway::serve(const CallerRequest &Request) {
   const TimePoint Begun = SteadyClock().now();
-  CallerAnswer Answer = answerTo(Request);
+  CallerAnswer Answer = handle(Request);
   Metrics_
       .counter("caller_answers_total{status=\"" +
                std::string(nameOf(Answer.Status_)) + "\"}")
@@ -84,9 +85,9 @@
   return Answer;
 }
 
-CallerAnswer Intake::answerTo(const CallerRequest &Request) {
+CallerAnswer CallerGateway::handle(const CallerRequest &Request) {
   if (Config_.Version_.value() == 0)
-    return notNow("no configuration yet");
+    return tryLater("no configuration yet");
   const QueueConfig *Queue = Config_.route(Request.Host_, Request.Path_);
   if (!Queue)
     return refuse(CallerStatus::NoSuchQueue, "no queue at this path");
@@ -97,7 +98,7 @@
     peers::JobCall Call;
     Call.Kind_ = JobCallKind::Waiting;
     Call.Queue_ = Queue->Name_.str();
-    return pass(Request, std::move(Call));
+    return forward(Request, std::move(Call));
   }
   if (!isJobId(Job) || Request.Verb_ == CallerRequest::Verb::Other)
     return answer(CallerStatus::NoSuchQueue, "no job id at this path");
@@ -107,11 +108,12 @@
   Call.Kind_ = kindOf(Request.Verb_);
   Call.Job_ = Job;
   Call.Queue_ = Queue->Name_.str();
-  return pass(Request, std::move(Call));
+  return forward(Request, std::move(Call));
 }
 
-CallerAnswer Intake::submit(const CallerRequest &Request,
-                            const QueueConfig &Queue, const std::string &Job) {
+CallerAnswer CallerGateway::submit(const CallerRequest &Request,
+                                   const QueueConfig &Queue,
+                                   const std::string &Job) {
   absl::StatusOr<jobs::JobSpec> Spec = ReadJob_(Request.Body_);
   if (!Spec.ok())
     return answer(CallerStatus::Malformed,
@@ -126,18 +128,19 @@
   Call.Job_ = Job;
   Call.Queue_ = Queue.Name_.str();
   Call.Spec_ = jobs::encodeGroup({jobs::JobAccepted{std::move(*Spec)}});
-  return pass(Request, std::move(Call));
+  return forward(Request, std::move(Call));
 }
 
-CallerAnswer Intake::pass(const CallerRequest &Request, peers::JobCall Call) {
+CallerAnswer CallerGateway::forward(const CallerRequest &Request,
+                                    peers::JobCall Call) {
   Call.ConfigVersion_ = Config_.Version_.value();
   Call.Origin_ = {Request.Host_, Request.Path_, Request.Key_};
   const JobCallKind Kind = Call.Kind_;
   const TimePoint Now = SteadyClock().now();
-  const Duration Patience =
-      std::min(ReplyPatience, Request.Patience_ - AnswerMargin);
+  const Duration Timeout =
+      std::min(ReplyTimeout, Request.Timeout_ - AnswerMargin);
   const peers::JobReply Reply =
-      Router_.call(std::move(Call), Now + HolderPatience, Now + Patience);
+      Router_.call(std::move(Call), Now + LeaderWait, Now + Timeout);
   recordPeerVersion(ConfigVersion(Reply.ConfigVersion_));
   CallerAnswer Result;
   switch (Reply.Verdict_) {
@@ -155,7 +158,7 @@
   case JobVerdict::Missing:
     return answer(CallerStatus::NoSuchJob, "no such job");
   case JobVerdict::Refused:
-    Result = notNow("jobs cannot be stored at present");
+    Result = tryLater("jobs cannot be stored at present");
     if (Reply.RetryAfterMs_ > 0)
       Result.RetryAfter_ = std::chrono::milliseconds(Reply.RetryAfterMs_);
     return Result;
--- a/src/cell/internal/callrouter.cpp
+++ b/src/cell/internal/callrouter.cpp
@@ -8,53 +8,53 @@
 using peers::JobReply;
 using peers::JobVerdict;
 
-JobReply CallRouter::call(peers::JobCall Call, TimePoint HolderBy,
+JobReply CallRouter::call(peers::JobCall Call, TimePoint LeaderDeadline,
                           TimePoint Deadline) {
   const std::uint64_t Sequence = Next_++;
   Call.Sequence_ = Sequence;
-  const auto Mine = std::make_shared<Pending>();
-  Pending_[Sequence] = Mine;
-  CallFate Fate;
+  const auto Own = std::make_shared<Pending>();
+  Pending_[Sequence] = Own;
+  CallAttempts Attempts;
   std::optional<JobReply> Answer;
   while (SteadyClock().now() < Deadline) {
-    Mine->Wake_ = std::make_shared<framework::fibers::Waiter>();
-    Mine->Reply_.reset();
-    const journal::Holder Holder = Paths_.Holder_();
-    if (Paths_.LeadsHere_()) {
-      Fate.sent();
-      Paths_.Local_(Call, [Mine](const JobReply &Reply) {
-        Mine->Reply_ = Reply;
-        Mine->Wake_->signal();
+    Own->Wake_ = std::make_shared<framework::fibers::Waiter>();
+    Own->Reply_.reset();
+    const journal::Holder Leader = Routes_.Leader_();
+    if (Routes_.IsLeader_()) {
+      Attempts.sent();
+      Routes_.HandleLocally_(Call, [Own](const JobReply &Reply) {
+        Own->Reply_ = Reply;
+        Own->Wake_->signal();
       });
-    } else if (Holder.Token_.value() != 0 && !Paths_.IsHere_(Holder)) {
-      Fate.sent();
-      Paths_.Send_(Holder, Call);
+    } else if (Leader.Token_.value() != 0 && !Routes_.IsThisProcess_(Leader)) {
+      Attempts.sent();
+      Routes_.Send_(Leader, Call);
     }
     const Duration Wait =
-        std::min<Duration>(ResendEvery, Deadline - SteadyClock().now());
-    if (!Mine->Reply_)
-      Mine->Wake_->waitUntil(framework::clock::wallDeadline(Wait));
-    if (Mine->Reply_ && Mine->Reply_->Verdict_ != JobVerdict::NotHolder) {
-      Answer = *Mine->Reply_;
+        std::min<Duration>(ResendInterval, Deadline - SteadyClock().now());
+    if (!Own->Reply_)
+      Own->Wake_->waitUntil(framework::clock::wallDeadline(Wait));
+    if (Own->Reply_ && Own->Reply_->Verdict_ != JobVerdict::NotHolder) {
+      Answer = *Own->Reply_;
       break;
     }
-    if (Mine->Reply_) {
-      Fate.turnedDown();
-      framework::fibers::sleepFor(ResendEvery / 4);
+    if (Own->Reply_) {
+      Attempts.rejected();
+      framework::fibers::sleepFor(ResendInterval / 4);
     }
-    if (!Fate.mayBeTaken() && SteadyClock().now() > HolderBy)
+    if (!Attempts.mayHaveBeenAccepted() && SteadyClock().now() > LeaderDeadline)
       break;
   }
   Pending_.erase(Sequence);
   if (Answer)
     return *Answer;
   JobReply Result;
-  Result.Verdict_ =
-      Fate.mayBeTaken() ? JobVerdict::Unknown : JobVerdict::Refused;
+  Result.Verdict_ = Attempts.mayHaveBeenAccepted() ? JobVerdict::Unknown
+                                                   : JobVerdict::Refused;
   return Result;
 }
 
-void CallRouter::take(const JobReply &Reply) {
+void CallRouter::handleReply(const JobReply &Reply) {
   const auto Found = Pending_.find(Reply.Sequence_);
   if (Found == Pending_.end())
     return;
--- a/src/cell/internal/candidacy.cpp
+++ b/src/cell/internal/candidacy.cpp
@@ -8,23 +8,24 @@
 
 /// A holder of some hundred workers sends and hears a few Mbit/s; beyond this
 /// the link does not matter.
-constexpr double WideLinkMbps = 50;
+constexpr double SufficientLinkMbps = 50;
 
 } // namespace
 
 double Candidacy::weightOf(double Cores, double LinkMbps) {
-  return Cores * std::min(1.0, LinkMbps / WideLinkMbps);
+  return Cores * std::min(1.0, LinkMbps / SufficientLinkMbps);
 }
 
-framework::clock::Duration Candidacy::wait() const {
+framework::clock::Duration Candidacy::campaignDelay() const {
   double Strongest = Weight_;
   for (const auto &[Entry, Weight] : Others_)
     Strongest = std::max(Strongest, Weight);
-  if (Strongest <= 0 || Weight_ >= (1 - Alike) * Strongest)
+  if (Strongest <= 0 || Weight_ >= (1 - EqualWeightTolerance) * Strongest)
     return framework::clock::Duration::zero();
-  const double Lack = 1 - Weight_ / Strongest;
-  return LeastWait + std::chrono::duration_cast<framework::clock::Duration>(
-                         Lack * (LongestWait - LeastWait));
+  const double Deficit = 1 - Weight_ / Strongest;
+  return MinCampaignDelay +
+         std::chrono::duration_cast<framework::clock::Duration>(
+             Deficit * (MaxCampaignDelay - MinCampaignDelay));
 }
 
 } // namespace laburnumspread::cell
--- a/src/cell/internal/cellsettings.cpp
+++ b/src/cell/internal/cellsettings.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr std::int64_t MostMillis = 3'600'000;
-constexpr double MostSeconds = 86'400;
-constexpr double MostFactor = 1000;
-constexpr double MostCores = 1024;
-constexpr double MostMbps = 1e6;
+constexpr std::int64_t MaxMillis = 3'600'000;
+constexpr double MaxSeconds = 86'400;
+constexpr double MaxFactor = 1000;
+constexpr double MaxCores = 1024;
+constexpr double MaxLinkMbps = 1e6;
 
 Address readAddress(JsonReader &Reader, std::string_view Field, bool Required) {
   const std::string Text = Required ? Reader.requiredString(Field)
@@ -28,25 +28,25 @@
   const auto Default =
       std::chrono::duration_cast<std::chrono::milliseconds>(Into).count();
   Into = std::chrono::milliseconds(
-      Reader.optionalInt(Field, Default, {0, MostMillis}));
+      Reader.optionalInt(Field, Default, {0, MaxMillis}));
 }
 
 void readSeconds(JsonReader &Reader, std::string_view Field, Duration &Into) {
   const double Default = std::chrono::duration<double>(Into).count();
   Into = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
-      Reader.optionalNumber(Field, Default, 0, MostSeconds)));
+      Reader.optionalNumber(Field, Default, 0, MaxSeconds)));
 }
 
 void readBounds(JsonReader Reader, CellBounds &Into) {
-  readMillis(Reader, "longestHoldMs", Into.LongestHold_);
-  readSeconds(Reader, "statusKeptSeconds", Into.StatusKept_);
+  readMillis(Reader, "longestHoldMs", Into.MaxLease_);
+  readSeconds(Reader, "statusKeptSeconds", Into.StatusRetention_);
   readMillis(Reader, "gangTimeoutMs", Into.GangTimeout_);
-  readMillis(Reader, "machineLeaseMs", Into.MachineLease_);
-  Into.FarFactor_ =
-      Reader.optionalNumber("farFactor", Into.FarFactor_, 1, MostFactor);
-  readSeconds(Reader, "moveSeconds", Into.Move_);
-  readSeconds(Reader, "upkeepSeconds", Into.Upkeep_);
-  readSeconds(Reader, "graceSeconds", Into.Grace_);
+  readMillis(Reader, "machineLeaseMs", Into.MachineOrderLease_);
+  Into.RemoteDataFactor_ =
+      Reader.optionalNumber("farFactor", Into.RemoteDataFactor_, 1, MaxFactor);
+  readSeconds(Reader, "moveSeconds", Into.MoveDuration_);
+  readSeconds(Reader, "upkeepSeconds", Into.UpkeepDuration_);
+  readSeconds(Reader, "graceSeconds", Into.GracePeriod_);
   Reader.finish();
 }
 
@@ -70,28 +70,28 @@
   Result.Name_ = fleet::EntryName(Reader.requiredString("name"));
   Result.Zone_ = ZoneName(Reader.requiredString("zone"));
   JsonReader Listen = Reader.child("listen", true);
-  Result.Callers_ = readAddress(Listen, "callers", true);
-  Result.Readiness_ = readAddress(Listen, "readiness", true);
-  Result.Peers_ = readAddress(Listen, "peers", true);
-  if (const Address Told = readAddress(Listen, "peersAdvertised", false);
-      Told != Address())
-    Result.PeersAdvertised_ = Told;
-  Result.Metrics_ = readAddress(Listen, "metrics", true);
+  Result.CallerAddress_ = readAddress(Listen, "callers", true);
+  Result.ReadinessAddress_ = readAddress(Listen, "readiness", true);
+  Result.PeerAddress_ = readAddress(Listen, "peers", true);
+  if (const Address Advertised = readAddress(Listen, "peersAdvertised", false);
+      Advertised != Address())
+    Result.AdvertisedPeerAddress_ = Advertised;
+  Result.MetricsAddress_ = readAddress(Listen, "metrics", true);
   Listen.finish();
   JsonReader Store = Reader.child("store", true);
-  Result.Store_ = readAddress(Store, "address", true);
+  Result.StoreAddress_ = readAddress(Store, "address", true);
   Result.StorePrefix_ = Store.optionalString("prefix", "laburnumspread/");
   if (!Result.StorePrefix_.ends_with('/'))
     Store.fault("prefix", "must end with '/'");
   Store.finish();
   JsonReader Services = Reader.child("services", false);
-  Result.Machines_ = readAddress(Services, "machines", false);
-  Result.Advisor_ = readAddress(Services, "advisor", false);
+  Result.MachineApiAddress_ = readAddress(Services, "machines", false);
+  Result.AdvisorAddress_ = readAddress(Services, "advisor", false);
   Services.finish();
   JsonReader Capacity = Reader.child("capacity", false);
-  Result.Cores_ = Capacity.optionalNumber("cores", Result.Cores_, 0, MostCores);
+  Result.Cores_ = Capacity.optionalNumber("cores", Result.Cores_, 0, MaxCores);
   Result.LinkMbps_ =
-      Capacity.optionalNumber("linkMbps", Result.LinkMbps_, 0, MostMbps);
+      Capacity.optionalNumber("linkMbps", Result.LinkMbps_, 0, MaxLinkMbps);
   Capacity.finish();
   JsonReader Keys = Reader.child("peerKeys", true);
   Result.PeerKeys_.Public_ = readCurveKey(Keys, "public");
@@ -118,8 +118,8 @@
   return readCellSettings(*Text, File);
 }
 
-std::string needRestart(const CellSettings &InForce,
-                        const CellSettings &Fresh) {
+std::string settingsNeedingRestart(const CellSettings &InForce,
+                                   const CellSettings &Fresh) {
   std::string Names;
   const auto Note = [&](bool Differs, std::string_view Name) {
     if (Differs)
@@ -127,17 +127,17 @@
   };
   Note(InForce.Name_ != Fresh.Name_, "name");
   Note(InForce.Zone_ != Fresh.Zone_, "zone");
-  Note(InForce.Callers_ != Fresh.Callers_ ||
-           InForce.Readiness_ != Fresh.Readiness_ ||
-           InForce.Peers_ != Fresh.Peers_ ||
-           InForce.PeersAdvertised_ != Fresh.PeersAdvertised_ ||
-           InForce.Metrics_ != Fresh.Metrics_,
+  Note(InForce.CallerAddress_ != Fresh.CallerAddress_ ||
+           InForce.ReadinessAddress_ != Fresh.ReadinessAddress_ ||
+           InForce.PeerAddress_ != Fresh.PeerAddress_ ||
+           InForce.AdvertisedPeerAddress_ != Fresh.AdvertisedPeerAddress_ ||
+           InForce.MetricsAddress_ != Fresh.MetricsAddress_,
        "listen");
-  Note(InForce.Store_ != Fresh.Store_ ||
+  Note(InForce.StoreAddress_ != Fresh.StoreAddress_ ||
            InForce.StorePrefix_ != Fresh.StorePrefix_,
        "store");
-  Note(InForce.Machines_ != Fresh.Machines_ ||
-           InForce.Advisor_ != Fresh.Advisor_,
+  Note(InForce.MachineApiAddress_ != Fresh.MachineApiAddress_ ||
+           InForce.AdvisorAddress_ != Fresh.AdvisorAddress_,
        "services");
   Note(InForce.PeerKeys_.Public_ != Fresh.PeerKeys_.Public_ ||
            InForce.PeerKeys_.Secret_ != Fresh.PeerKeys_.Secret_,
--- a/src/cell/internal/machinetable.cpp
+++ b/src/cell/internal/machinetable.cpp
@@ -2,8 +2,8 @@
 
 namespace laburnumspread::cell {
 
-void MachineTable::takeList(const std::vector<MachineRecord> &List,
-                            TimePoint Now) {
+void MachineTable::updateFromList(const std::vector<MachineRecord> &List,
+                                  TimePoint Now) {
   std::set<MachineId> Listed;
   for (const MachineRecord &Item : List) {
     Listed.insert(Item.Id_);
@@ -12,13 +12,14 @@
       View.IdleSince_ = Now;
     const Resources Room = View.Record_.Room_;
     View.Record_ = Item;
-    noteLeftAlone(View);
+    applyOrderBlock(View);
     if (Item.Room_ == Resources())
       View.Record_.Room_ = Room;
     Homes_.try_emplace(Item.Id_, Item.Pool_);
     const auto Found = Orders_.find(Item.Id_);
     if (Found != Orders_.end() && Found->second.Acknowledged_ &&
-        Item.State_ == MachineState::Up && Now - Found->second.At_ > Settle_)
+        Item.State_ == MachineState::Up &&
+        Now - Found->second.At_ > MinOrderDuration_)
       Orders_.erase(Found);
   }
   std::erase_if(Views_,
@@ -26,13 +27,14 @@
   ListSeen_ = true;
 }
 
-void MachineTable::noteWorker(const WorkerRecord &Record, TimePoint Now) {
+void MachineTable::recordWorker(const WorkerRecord &Record, TimePoint Now) {
   if (Record.Machine_.empty())
     return;
-  const auto Known = LifeOf_.find(Record.Machine_);
-  if (Known != LifeOf_.end() && Known->second.BornMs_ >= Record.Life_.BornMs_)
+  const auto Known = CurrentLives_.find(Record.Machine_);
+  if (Known != CurrentLives_.end() &&
+      Known->second.BornMs_ >= Record.Life_.BornMs_)
     return;
-  LifeOf_[Record.Machine_] = Record.Life_;
+  CurrentLives_[Record.Machine_] = Record.Life_;
   capacity::MachineView &View = Views_[Record.Machine_];
   View.Record_.Id_ = Record.Machine_;
   View.Record_.Pool_ = Record.Pool_;
@@ -40,12 +42,13 @@
   View.Record_.Room_ = Record.Room_;
   View.Record_.Worker_ = Record.Life_.Id_;
   View.IdleSince_ = Now;
-  noteLeftAlone(View);
+  applyOrderBlock(View);
   Homes_.try_emplace(Record.Machine_, Record.Pool_);
-  noteLife(Record, Now);
+  settleOrderByLife(Record, Now);
 }
 
-void MachineTable::noteLife(const WorkerRecord &Record, TimePoint Now) {
+void MachineTable::settleOrderByLife(const WorkerRecord &Record,
+                                     TimePoint Now) {
   const auto Found = Orders_.find(Record.Machine_);
   if (Found == Orders_.end())
     return;
@@ -55,18 +58,18 @@
     Orders_.erase(Found);
 }
 
-void MachineTable::noteLeftAlone(capacity::MachineView &View) const {
-  const auto Found = LeftAlone_.find(View.Record_.Id_);
-  if (Found != LeftAlone_.end())
+void MachineTable::applyOrderBlock(capacity::MachineView &View) const {
+  const auto Found = OrdersBlockedUntil_.find(View.Record_.Id_);
+  if (Found != OrdersBlockedUntil_.end())
     View.NoOrderBefore_ = Found->second;
 }
 
-void MachineTable::ordered(const MachineId &Machine, Duration Takes,
-                           TimePoint Now) {
+void MachineTable::orderSent(const MachineId &Machine, Duration Takes,
+                             TimePoint Now) {
   Orders_[Machine] = {Now, Now + Takes, false, lifeOn(Machine)};
 }
 
-void MachineTable::acknowledged(const MachineId &Machine, TimePoint Now) {
+void MachineTable::orderAcknowledged(const MachineId &Machine, TimePoint Now) {
   // A newer worker may have settled it before the answer came; that one is not
   // the life that the order was given for.
   Order &Known = Orders_[Machine];
@@ -74,20 +77,20 @@
   Known.Acknowledged_ = true;
 }
 
-void MachineTable::refused(const MachineId &Machine, TimePoint Now) {
+void MachineTable::orderRefused(const MachineId &Machine, TimePoint Now) {
   Orders_.erase(Machine);
-  leaveAloneUntil(Machine, Now + PauseAfterRefusal);
+  blockOrdersUntil(Machine, Now + PauseAfterRefusal);
   if (const auto View = Views_.find(Machine); View != Views_.end())
-    noteLeftAlone(View->second);
+    applyOrderBlock(View->second);
 }
 
 std::optional<WorkerLife>
-MachineTable::lifeOrdered(const MachineId &Machine) const {
+MachineTable::lifeEndedByOrder(const MachineId &Machine) const {
   const auto Found = Orders_.find(Machine);
   return Found == Orders_.end() ? std::nullopt : Found->second.Life_;
 }
 
-std::set<WorkerLife> MachineTable::orderedAway(TimePoint Before) const {
+std::set<WorkerLife> MachineTable::livesEndedByOrders(TimePoint Before) const {
   std::set<WorkerLife> Lives;
   for (const auto &[Machine, Item] : Orders_)
     if (Item.Acknowledged_ && Item.At_ < Before && Item.Life_)
@@ -102,7 +105,7 @@
   return Found != Views_.end() && Found->second.HeldBack_;
 }
 
-bool MachineTable::saysGone(const WorkerRecord &Worker) const {
+bool MachineTable::showsWorkerGone(const WorkerRecord &Worker) const {
   if (!ListSeen_ || Worker.Machine_.empty())
     return false;
   const auto Found = Views_.find(Worker.Machine_);
@@ -122,8 +125,9 @@
 }
 
 std::optional<WorkerLife> MachineTable::lifeOn(const MachineId &Machine) const {
-  const auto Found = LifeOf_.find(Machine);
-  return Found == LifeOf_.end() ? std::nullopt : std::optional(Found->second);
+  const auto Found = CurrentLives_.find(Machine);
+  return Found == CurrentLives_.end() ? std::nullopt
+                                      : std::optional(Found->second);
 }
 
 } // namespace laburnumspread::cell
--- a/src/cell/internal/pooldemand.cpp
+++ b/src/cell/internal/pooldemand.cpp
@@ -8,20 +8,21 @@
 
 namespace {
 
-bool ready(const jobs::OccurrenceRow &Occurrence, const jobs::StepSpec &Spec) {
+bool isReady(const jobs::OccurrenceRow &Occurrence,
+             const jobs::StepSpec &Spec) {
   return std::all_of(
       Spec.After_.begin(), Spec.After_.end(),
       [&](std::uint32_t Before) { return Occurrence.Steps_[Before].done(); });
 }
 
-Resources openOf(const jobs::StepRow &Row, const jobs::StepSpec &Spec) {
+Resources openResources(const jobs::StepRow &Row, const jobs::StepSpec &Spec) {
   const auto Tasks =
       static_cast<std::int64_t>(Row.Tasks_.size() - Row.DoneCount_);
   return {Tasks * Spec.Each_.MilliCpus_, Tasks * Spec.Each_.MemoryMb_,
           Tasks * Spec.Each_.Accelerators_};
 }
 
-bool waits(const jobs::StepRow &Row, TimePoint Now) {
+bool hasWaitingTask(const jobs::StepRow &Row, TimePoint Now) {
   return std::any_of(Row.Tasks_.begin(), Row.Tasks_.end(),
                      [&](const jobs::TaskRow &Task) {
                        return Task.idle() && Task.NotBefore_ <= Now;
@@ -29,7 +30,7 @@
 }
 
 /// The least room into which both fit, each by itself.
-Resources larger(const Resources &A, const Resources &B) {
+Resources componentMax(const Resources &A, const Resources &B) {
   return {std::max(A.MilliCpus_, B.MilliCpus_),
           std::max(A.MemoryMb_, B.MemoryMb_),
           std::max(A.Accelerators_, B.Accelerators_)};
@@ -37,9 +38,9 @@
 
 void addStanding(const jobs::StepRow &Row, const jobs::StepSpec &Spec,
                  TimePoint Now, capacity::PoolDemand &Into) {
-  Into.Standing_ += openOf(Row, Spec);
-  if (waits(Row, Now))
-    Into.WaitingStanding_ = larger(Into.WaitingStanding_, Spec.Each_);
+  Into.Standing_ += openResources(Row, Spec);
+  if (hasWaitingTask(Row, Now))
+    Into.WaitingStanding_ = componentMax(Into.WaitingStanding_, Spec.Each_);
 }
 
 void addSteps(const jobs::JobRow &Job, bool Late, TimePoint Now,
@@ -48,32 +49,33 @@
     for (std::size_t S = 0; S < Occurrence.Steps_.size(); ++S) {
       const jobs::StepSpec &Spec = Job.Spec_.Steps_[S];
       const jobs::StepRow &Row = Occurrence.Steps_[S];
-      if (Spec.Filler_ || !ready(Occurrence, Spec))
+      if (Spec.Filler_ || !isReady(Occurrence, Spec))
         continue;
       if (Spec.LongRunning_)
         addStanding(Row, Spec, Now, Into);
       else if (!Late)
-        Into.Timely_ += openOf(Row, Spec);
+        Into.Timely_ += openResources(Row, Spec);
     }
 }
 
 /// Counts the job to what comes in now, or came in before, by its age. What
 /// was cancelled needs nothing.
-void addInflow(const jobs::JobRow &Job, const scheduling::Estimates &Learned,
-               TimePoint Now, capacity::PoolDemand &Into) {
+void addArrivals(const jobs::JobRow &Job,
+                 const scheduling::Estimates &Estimates, TimePoint Now,
+                 capacity::PoolDemand &Into) {
   const Duration Age = Now - Job.AcceptedAt_;
-  if (Age >= 2 * InflowWindow || Job.State_ == jobs::JobState::Cancelled)
+  if (Age >= 2 * ArrivalWindow || Job.State_ == jobs::JobState::Cancelled)
     return;
-  capacity::Inflow &Of = Age < InflowWindow ? Into.Coming_ : Into.CameBefore_;
-  Of.add(scheduling::workOf(Job.Spec_, Learned) /
-         static_cast<double>(InflowWindow.count()));
+  capacity::Inflow &Of = Age < ArrivalWindow ? Into.Coming_ : Into.CameBefore_;
+  Of.add(scheduling::workOf(Job.Spec_, Estimates) /
+         static_cast<double>(ArrivalWindow.count()));
 }
 
 } // namespace
 
 std::map<PoolName, capacity::PoolDemand>
-demandOf(const jobs::CellTable &Table, const CellConfig &Config,
-         const scheduling::Estimates &Learned, TimePoint Now) {
+computePoolDemand(const jobs::CellTable &Table, const CellConfig &Config,
+                  const scheduling::Estimates &Estimates, TimePoint Now) {
   std::map<PoolName, capacity::PoolDemand> Result;
   for (const auto &[Order, Id] : Table.open()) {
     const jobs::JobRow &Job = *Table.find(Id);
@@ -81,14 +83,14 @@
     if (!Queue)
       continue;
     capacity::PoolDemand &Into = Result[Queue->Pool_];
-    addInflow(Job, Learned, Now, Into);
-    addSteps(Job, Now > scheduling::dueAt(Job, *Queue, Learned), Now, Into);
+    addArrivals(Job, Estimates, Now, Into);
+    addSteps(Job, Now > scheduling::dueAt(Job, *Queue, Estimates), Now, Into);
   }
   // Short jobs are done before their wave of arrivals has passed.
-  for (const jobs::JobId &Id : Table.endedSince(Now - 2 * InflowWindow))
+  for (const jobs::JobId &Id : Table.endedSince(Now - 2 * ArrivalWindow))
     if (const jobs::JobRow *Job = Table.find(Id))
       if (const QueueConfig *Queue = Config.find(Job->Spec_.Queue_))
-        addInflow(*Job, Learned, Now, Result[Queue->Pool_]);
+        addArrivals(*Job, Estimates, Now, Result[Queue->Pool_]);
   return Result;
 }
 
--- a/src/cell/internal/runtracker.cpp
+++ b/src/cell/internal/runtracker.cpp
@@ -13,7 +13,7 @@
 /// each report and is answered after the next hold has left: were the last
 /// answer to count, no hold would ever be later than it, and the run would stay
 /// in doubt for good.
-void noteFirst(std::optional<TimePoint> &At, TimePoint Now) {
+void setIfEmpty(std::optional<TimePoint> &At, TimePoint Now) {
   if (!At)
     At = Now;
 }
@@ -21,17 +21,16 @@
 } // namespace
 
 void RunTracker::startSent(const RunName &Run, std::int64_t DeadlineMs) {
-  Start &Sent = Starts_[Run];
+  StartState &Sent = Starts_[Run];
   Sent.DeadlineMs_ = DeadlineMs;
   // This attempt may reach a life that has stopped nothing yet.
-  Sent.StoppedLaterAt_.reset();
+  Sent.StoppedByLaterLifeAt_.reset();
   ++Sent.Unanswered_;
 }
 
-std::optional<RunTracker::Ended> RunTracker::startAnswered(const RunName &Run,
-                                                           OrderResult Result,
-                                                           int Attempt,
-                                                           TimePoint Now) {
+std::optional<RunTracker::EndedRun>
+RunTracker::startAnswered(const RunName &Run, OrderResult Result, int Attempt,
+                          TimePoint Now) {
   const auto Known = Starts_.find(Run);
   if (Known == Starts_.end())
     return std::nullopt;
@@ -47,27 +46,27 @@
   // may be there, or may have been: the next holds tell.
   if (Result == OrderResult::Unknown || Attempt > 0)
     return std::nullopt;
-  return Ended{Run, EndKind::Refused, Checkpoint(), nameOf(Result)};
+  return EndedRun{Run, EndKind::Refused, Checkpoint(), nameOf(Result)};
 }
 
-void RunTracker::startFinished(const RunName &Run) {
+void RunTracker::noMoreStarts(const RunName &Run) {
   if (const auto Known = Starts_.find(Run); Known != Starts_.end())
-    Known->second.Finished_ = true;
+    Known->second.NoMoreStarts_ = true;
 }
 
 void RunTracker::stopAnswered(const RunName &Run, TimePoint Now) {
   // Nothing forgets what is noted of a run that is over.
   if (!Table_.findLive(Run))
     return;
-  Start &Known = Starts_[Run];
-  noteFirst(Known.SettledAt_, Now);
+  StartState &Known = Starts_[Run];
+  setIfEmpty(Known.SettledAt_, Now);
   Known.StoppedAt_ = Now;
 }
 
-void RunTracker::stopAnsweredLater(const RunName &Run, TimePoint Now) {
+void RunTracker::stopAnsweredByLaterLife(const RunName &Run, TimePoint Now) {
   if (!Table_.findLive(Run))
     return;
-  noteFirst(Starts_[Run].StoppedLaterAt_, Now);
+  setIfEmpty(Starts_[Run].StoppedByLaterLifeAt_, Now);
 }
 
 std::vector<RunName> RunTracker::unwanted(const WorkerLife &Worker,
@@ -77,13 +76,13 @@
   if (!Use)
     return Result;
   for (const RunName &Run : Use->Runs_)
-    if (Table_.unwantedSince(Run) && !mayBeStopping(Run, AsOf))
+    if (Table_.unwantedSince(Run) && !stopMayBeInProgress(Run, AsOf))
       Result.push_back(Run);
   return Result;
 }
 
-bool RunTracker::mayBeStopping(const RunName &Run, TimePoint AsOf) const {
-  return stopped(Run) && AsOf < *Starts_.at(Run).StoppedAt_ + StopTime;
+bool RunTracker::stopMayBeInProgress(const RunName &Run, TimePoint AsOf) const {
+  return stopped(Run) && AsOf < *Starts_.at(Run).StoppedAt_ + MaxStopDuration;
 }
 
 bool RunTracker::stopped(const RunName &Run) const {
@@ -91,7 +90,7 @@
   return Known != Starts_.end() && Known->second.StoppedAt_.has_value();
 }
 
-bool RunTracker::haunted(const WorkerLife &Worker) const {
+bool RunTracker::mayRunStaleStarts(const WorkerLife &Worker) const {
   const auto &All = Table_.workers();
   const auto First = All.lower_bound(WorkerLife{Worker.Id_, 0});
   return First != All.end() && First->first.Id_ == Worker.Id_ &&
@@ -103,12 +102,13 @@
   Staged_.erase(Run);
 }
 
-RunTracker::Report RunTracker::report(const WorkerLife &Worker,
-                                      const HoldReply &Reply, TimePoint SentAt,
-                                      std::uint64_t EndsStaged) {
+RunTracker::Report RunTracker::processReport(const WorkerLife &Worker,
+                                             const HoldReply &Reply,
+                                             TimePoint SentAt,
+                                             std::uint64_t EndsStaged) {
   Report Result;
   std::set<RunName> Listed;
-  for (const EndRow &Item : Reply.Ends_) {
+  for (const EndReport &Item : Reply.Ends_) {
     Listed.insert(Item.Run_);
     const LiveRun *Live = Table_.find(Item.Run_);
     const bool Here = Live && Live->On_.Id_ == Worker.Id_ &&
@@ -116,7 +116,7 @@
     if (Item.Number_ > EndsStaged && Here)
       Result.Ended_.push_back({Item.Run_, Item.Kind_, Item.Saved_, "listed"});
   }
-  for (const RunningRow &Item : Reply.Running_) {
+  for (const RunningReport &Item : Reply.Running_) {
     Listed.insert(Item.Run_);
     LiveRun *Live = Table_.findLive(Item.Run_);
     if (!Live || Live->On_ != Worker) {
@@ -128,17 +128,17 @@
     if (!Item.Saved_.empty())
       Table_.findTask(Item.Run_.Task_)->Saved_ = Item.Saved_;
   }
-  reportFormerLives(Worker, Listed, SentAt, Result);
+  settleFormerLives(Worker, Listed, SentAt, Result);
   const jobs::WorkerUse *Use = Table_.useOf(Worker);
   if (!Use)
     return Result;
   for (const RunName &Run : Use->Runs_)
-    if (!Listed.contains(Run) && cannotBegin(Run, Reply.ClockMs_, SentAt))
+    if (!Listed.contains(Run) && cannotStart(Run, Reply.ClockMs_, SentAt))
       Result.Ended_.push_back({Run, EndKind::Lost, Checkpoint(), "not listed"});
   return Result;
 }
 
-void RunTracker::reportFormerLives(const WorkerLife &Worker,
+void RunTracker::settleFormerLives(const WorkerLife &Worker,
                                    const std::set<RunName> &Listed,
                                    TimePoint SentAt, Report &Into) const {
   const auto &All = Table_.workers();
@@ -147,33 +147,34 @@
     for (const RunName &Run : Life->second.Runs_) {
       if (Listed.contains(Run))
         continue;
-      if (cannotBeginAnew(Run, SentAt))
+      if (cannotStartOnLaterLife(Run, SentAt))
         Into.Ended_.push_back(
             {Run, EndKind::Lost, Checkpoint(), "its life is over"});
       else
-        Into.Haunting_.push_back(Run);
+        Into.StaleStarts_.push_back(Run);
     }
 }
 
-bool RunTracker::cannotBeginAnew(const RunName &Run, TimePoint SentAt) const {
+bool RunTracker::cannotStartOnLaterLife(const RunName &Run,
+                                        TimePoint SentAt) const {
   const auto Known = Starts_.find(Run);
   if (Known == Starts_.end())
     return !Staged_.contains(Run);
-  const Start &Sent = Known->second;
-  if (Sent.StoppedLaterAt_ && *Sent.StoppedLaterAt_ < SentAt)
+  const StartState &Sent = Known->second;
+  if (Sent.StoppedByLaterLifeAt_ && *Sent.StoppedByLaterLifeAt_ < SentAt)
     return true;
   return Sent.SettledAt_ && *Sent.SettledAt_ < SentAt && Sent.Unanswered_ == 0;
 }
 
-bool RunTracker::cannotBegin(const RunName &Run, std::int64_t ClockMs,
+bool RunTracker::cannotStart(const RunName &Run, std::int64_t ClockMs,
                              TimePoint SentAt) const {
   const auto Known = Starts_.find(Run);
   if (Known == Starts_.end())
     return !Staged_.contains(Run);
-  const Start &Sent = Known->second;
+  const StartState &Sent = Known->second;
   if (Sent.SettledAt_ && *Sent.SettledAt_ < SentAt)
     return true;
-  return Sent.Finished_ && Sent.DeadlineMs_ < ClockMs;
+  return Sent.NoMoreStarts_ && Sent.DeadlineMs_ < ClockMs;
 }
 
 } // namespace laburnumspread::cell
--- a/src/cell/jobcalls.h
+++ b/src/cell/jobcallhandler.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "cell/sessions.h"
+#include "cell/workersessions.h"
 #include "peers/messages.h"
 
 namespace laburnumspread::cell {
@@ -9,14 +9,15 @@
 
 /// Answers callers' requests about jobs, for one term. What is told lasts: a
 /// reply leaves only when the store has what it says.
-template <store::KeyValueStore Store, WorkerClient Client> class JobCalls {
+template <store::KeyValueStore Store, WorkerClient Client>
+class JobCallHandler {
 public:
   using TermPtr = std::shared_ptr<Term<Store>>;
-  using SessionsPtr = std::shared_ptr<Sessions<Store, Client>>;
+  using SessionsPtr = std::shared_ptr<WorkerSessions<Store, Client>>;
 
   static constexpr std::uint64_t RetryAfterOutageMs = 1000;
 
-  JobCalls(TermPtr T, SessionsPtr S)
+  JobCallHandler(TermPtr T, SessionsPtr S)
       : Term_(std::move(T)), Sessions_(std::move(S)) {}
 
   /// Serves a call; \p Reply may run later, once. \p Leaving: the entry takes
@@ -38,8 +39,8 @@
 
 private:
   /// A job that is taken now could only be told an unknown outcome later.
-  bool storeSilent() const {
-    return Term_->Commits_.stalled() || !Term_->mayOrder();
+  bool storeUnavailable() const {
+    return Term_->Commits_.stalled() || !Term_->maySendOrders();
   }
 
   void submit(const peers::JobCall &Call, bool Leaving,
@@ -56,7 +57,7 @@
     if (!Group.ok() || Group->Events_.size() != 1 ||
         !std::holds_alternative<jobs::JobAccepted>(Group->Events_.front()))
       return Reply({Call.Sequence_, peers::JobVerdict::Missing, "", 0, 0});
-    if (storeSilent() || Leaving) {
+    if (storeUnavailable() || Leaving) {
       framework::log::info("job.refused")
           .field("job", Call.Job_)
           .field("reason", "the store does not answer");
@@ -96,20 +97,20 @@
     const jobs::JobRow *Job = Term_->Table_.find(jobs::JobId(Call.Job_));
     if (!Job)
       return Reply({Call.Sequence_, peers::JobVerdict::Missing, "", 0, 0});
-    const auto Tell = [&](jobs::JobState State) {
+    const auto ReplyState = [&](jobs::JobState State) {
       Reply({Call.Sequence_, peers::JobVerdict::Ok,
              std::string(jobs::nameOf(State)), 0, 0});
     };
     if (!Job->ended() || Term_->Commits_.idle())
-      return Tell(Job->State_);
+      return ReplyState(Job->State_);
     // An end is told only once it lasts.
-    if (storeSilent())
-      return Tell(jobs::JobState::Running);
+    if (storeUnavailable())
+      return ReplyState(jobs::JobState::Running);
     Term_->Commits_.whenStored([Reply, Sequence = Call.Sequence_,
                                 State = Job->State_](CommitOutcome Outcome) {
-      const bool Lasts = Outcome == CommitOutcome::Stored;
+      const bool Stored = Outcome == CommitOutcome::Stored;
       Reply({Sequence,
-             Lasts ? peers::JobVerdict::Ok : peers::JobVerdict::Unknown,
+             Stored ? peers::JobVerdict::Ok : peers::JobVerdict::Unknown,
              std::string(jobs::nameOf(State)), 0, 0});
     });
   }
--- a/src/cell/machines.h
+++ b/src/cell/machinemanager.h
@@ -3,13 +3,13 @@
 #include "capacity/upkeepplanner.h"
 #include "cell/machineorders.h"
 #include "cell/pooldemand.h"
-#include "cell/sessions.h"
+#include "cell/workersessions.h"
 #include "scheduling/scheduler.h"
 
 namespace laburnumspread::cell {
 
 /// How the operator is told of a wave's progress.
-struct WaveReports {
+struct WaveStatusCodec {
   std::function<std::string(WaveNumber)> Key_;
   std::function<std::string(bool Done)> Value_;
 };
@@ -21,38 +21,38 @@
 /// ordered lately.
 template <store::KeyValueStore Store, WorkerClient Client,
           MachineService Service>
-class Machines
-    : public std::enable_shared_from_this<Machines<Store, Client, Service>> {
+class MachineManager : public std::enable_shared_from_this<
+                           MachineManager<Store, Client, Service>> {
 public:
   using TermPtr = std::shared_ptr<Term<Store>>;
-  using SessionsPtr = std::shared_ptr<Sessions<Store, Client>>;
+  using SessionsPtr = std::shared_ptr<WorkerSessions<Store, Client>>;
 
-  static constexpr Duration PlanEvery = std::chrono::milliseconds(100);
+  static constexpr Duration PlanInterval = std::chrono::milliseconds(100);
   /// The list is read this often while something is in question, else at the
   /// longer interval: each reading is paid for.
-  static constexpr Duration ListBusy = std::chrono::milliseconds(1000);
-  static constexpr Duration ListCalm = std::chrono::milliseconds(10000);
+  static constexpr Duration ListIntervalBusy = std::chrono::milliseconds(1000);
+  static constexpr Duration ListIntervalIdle = std::chrono::milliseconds(10000);
   /// The list may be this old when it is asked for: what it says of a worker
   /// that answered later is passed over.
-  static constexpr Duration ListLag = std::chrono::milliseconds(1000);
+  static constexpr Duration MaxListLag = std::chrono::milliseconds(1000);
   static constexpr Duration RetryPause = std::chrono::milliseconds(400);
-  static constexpr Duration ReportTime = std::chrono::milliseconds(900);
+  static constexpr Duration ReportTimeout = std::chrono::milliseconds(900);
 
-  Machines(TermPtr T, SessionsPtr S, Store &Kv, Service &Api,
-           WaveReports Reports)
+  MachineManager(TermPtr T, SessionsPtr S, Store &Kv, Service &Api,
+                 WaveStatusCodec WaveStatus)
       : Term_(std::move(T)), Sessions_(std::move(S)), Store_(Kv), Api_(Api),
-        Reports_(std::move(Reports)),
-        Table_(std::make_shared<MachineTable>(
-            std::max(Term_->Bounds_.Move_, Term_->Bounds_.Upkeep_))),
+        WaveStatus_(std::move(WaveStatus)),
+        Table_(std::make_shared<MachineTable>(std::max(
+            Term_->Bounds_.MoveDuration_, Term_->Bounds_.UpkeepDuration_))),
         Orders_(std::make_shared<MachineOrders<Store, Service>>(Term_, Api,
                                                                 Table_)) {}
 
   void start() {
     for (const auto &[Machine, Order] : Term_->Table_.machineOrders()) {
       Table_->setHome(Machine, Order.Home_);
-      Table_->leaveAloneUntil(Machine, Term_->BegunAt_ +
-                                           Term_->Bounds_.MachineLease_ -
-                                           Order.Quiet_);
+      Table_->blockOrdersUntil(Machine, Term_->StartedAt_ +
+                                            Term_->Bounds_.MachineOrderLease_ -
+                                            Order.Quiet_);
     }
     framework::fibers::spawn(
         [Self = this->shared_from_this()] { Self->listLoop(); });
@@ -77,8 +77,8 @@
   }
 
   /// A worker has come up: its machine is where the worker says.
-  void noteWorker(const WorkerRecord &Record) {
-    Table_->noteWorker(Record, now());
+  void recordWorker(const WorkerRecord &Record) {
+    Table_->recordWorker(Record, now());
   }
 
   /// Whether the worker is held back for an order on its machine.
@@ -91,19 +91,19 @@
 
   /// An upkeep that an earlier holder ordered last may not show in any list
   /// yet, and would not be counted against the wave's bound.
-  bool mayOrderUpkeep() const {
-    return Orders_->mayOrder() &&
-           now() - Term_->BegunAt_ > Term_->Bounds_.MachineLease_;
+  bool maySendUpkeepOrders() const {
+    return Orders_->maySendOrders() &&
+           now() - Term_->StartedAt_ > Term_->Bounds_.MachineOrderLease_;
   }
 
   void listLoop() {
-    while (!Term_->over()) {
+    while (!Term_->ended()) {
       const TimePoint Asked = now();
       const auto Read = Api_.list();
-      if (Term_->over())
+      if (Term_->ended())
         return;
       if (Read.ok())
-        takeList(*Read, Asked);
+        updateFromList(*Read, Asked);
       else
         framework::log::warning("machines.list_failed")
             .field("reason", std::string(Read.status().message()));
@@ -113,16 +113,17 @@
 
   void waitForNextList() {
     const TimePoint Begun = now();
-    while (!Term_->over()) {
-      framework::fibers::sleepFor(PlanEvery);
+    while (!Term_->ended()) {
+      framework::fibers::sleepFor(PlanInterval);
       const Duration Waited = now() - Begun;
-      if (Waited > ListCalm || (Waited > ListBusy && inQuestion()))
+      if (Waited > ListIntervalIdle ||
+          (Waited > ListIntervalBusy && awaitsListChange()))
         return;
     }
   }
 
   /// Whether the list could tell something that is waited for.
-  bool inQuestion() const {
+  bool awaitsListChange() const {
     if (Table_->anyBusy())
       return true;
     for (const auto &[Life, Use] : Term_->Table_.workers())
@@ -138,30 +139,31 @@
     return false;
   }
 
-  void takeList(const std::vector<MachineRecord> &List, TimePoint Asked) {
-    const TimePoint ListOf = Asked - ListLag;
-    const std::set<WorkerLife> Away = Table_->orderedAway(ListOf);
-    Table_->takeList(List, Asked);
+  void updateFromList(const std::vector<MachineRecord> &List, TimePoint Asked) {
+    const TimePoint ListOf = Asked - MaxListLag;
+    const std::set<WorkerLife> EndedByOrder =
+        Table_->livesEndedByOrders(ListOf);
+    Table_->updateFromList(List, Asked);
     std::vector<WorkerRowPtr> Gone;
     for (const auto &[Life, Row] : Term_->Workers_) {
       const bool Silent = Row->silentSince(ListOf);
-      if (!Row->Over_ && (Silent || Away.contains(Life)) &&
-          Table_->saysGone(Row->Record_))
+      if (!Row->Ended_ && (Silent || EndedByOrder.contains(Life)) &&
+          Table_->showsWorkerGone(Row->Record_))
         Gone.push_back(Row);
     }
     for (const WorkerRowPtr &Row : Gone)
-      Sessions_->lifeOver(*Row, "its machine is down or gone by the list",
-                          false);
-    loseUnlisted(ListOf);
+      Sessions_->endLife(*Row, "its machine is down or gone by the list",
+                         false);
+    loseRunsOnUnlistedWorkers(ListOf);
   }
 
   /// Runs on workers that nobody talks to any more and that no machine runs.
-  void loseUnlisted(TimePoint ListOf) {
+  void loseRunsOnUnlistedWorkers(TimePoint ListOf) {
     std::vector<WorkerLife> Lost;
     for (const auto &[Life, Use] : Term_->Table_.workers()) {
       const auto Ended = Term_->EndedLives_.find(Life);
       const TimePoint Since =
-          Ended == Term_->EndedLives_.end() ? Term_->BegunAt_ : Ended->second;
+          Ended == Term_->EndedLives_.end() ? Term_->StartedAt_ : Ended->second;
       if (!Term_->Workers_.contains(Life) && Since < ListOf &&
           !Table_->listsWorker(Life.Id_))
         Lost.push_back(Life);
@@ -176,7 +178,7 @@
     std::vector<jobs::RunName> Leaving;
     for (const auto &[Life, Row] : Term_->Workers_) {
       const jobs::WorkerUse *Use = Term_->Table_.useOf(Life);
-      if (!Row->Record_.Draining_ || Row->Over_ || !Use)
+      if (!Row->Record_.Draining_ || Row->Ended_ || !Use)
         continue;
       for (const jobs::RunName &Run : Use->Runs_) {
         const jobs::StepSpec *Step = Term_->Table_.specOf(Run.Task_);
@@ -194,12 +196,12 @@
   }
 
   void planLoop() {
-    while (!Term_->over()) {
-      framework::fibers::sleepFor(PlanEvery);
-      if (!Table_->listSeen() || !Term_->Loaded_ || Term_->over())
+    while (!Term_->ended()) {
+      framework::fibers::sleepFor(PlanInterval);
+      if (!Table_->listSeen() || !Term_->JournalLoaded_ || Term_->ended())
         continue;
       refreshViews();
-      if (Term_->mayOrder())
+      if (Term_->maySendOrders())
         evacuateDraining();
       planUpkeep();
       planMoves();
@@ -217,10 +219,10 @@
     }
     for (const auto &[Life, Row] : Term_->Workers_) {
       const auto Found = Table_->views().find(Row->Record_.Machine_);
-      if (Found == Table_->views().end() || Row->Over_)
+      if (Found == Table_->views().end() || Row->Ended_)
         continue;
       capacity::MachineView &View = Found->second;
-      View.Usable_ = View.Usable_ || Row->usable();
+      View.Usable_ = View.Usable_ || Row->acceptsTasks();
       const jobs::WorkerUse *Use = Term_->Table_.useOf(Life);
       if (!Use)
         continue;
@@ -252,7 +254,7 @@
           Begun != Term_->Table_.upkeep().end())
         Wave.Begun_ = Begun->second;
     const capacity::UpkeepPlanner Planner(Term_->Table_,
-                                          Term_->Bounds_.Upkeep_);
+                                          Term_->Bounds_.UpkeepDuration_);
     const capacity::UpkeepPlan Plan =
         Planner.plan(Table_->views(), Waves_, standbyPools(), now());
     for (auto &[Id, View] : Table_->views())
@@ -262,7 +264,7 @@
         report(Number, Wave, false);
     for (const WaveNumber Number : Plan.Done_)
       report(Number, Waves_.at(Number), true);
-    if (!mayOrderUpkeep())
+    if (!maySendUpkeepOrders())
       return;
     for (const jobs::RunName &Run : Plan.Evacuate_) {
       framework::log::info("run.evacuate")
@@ -286,14 +288,14 @@
 
   void sendReport(WaveNumber Number, bool Done) {
     store::Transaction Txn;
-    Txn.Puts_ = {{Reports_.Key_(Number), Reports_.Value_(Done), 0}};
-    while (!Term_->over()) {
+    Txn.Puts_ = {{WaveStatus_.Key_(Number), WaveStatus_.Value_(Done), 0}};
+    while (!Term_->ended()) {
       // An older report that is carried out late must not hide a newer one.
       if (!Done && Waves_.at(Number).ToldDone_)
         return;
       Txn.Compares_ = {{Keys_.head(), fleet::Revision(Term_->Token_.value())}};
       const auto Written =
-          Store_.commit(Txn, framework::clock::wallDeadline(ReportTime));
+          Store_.commit(Txn, framework::clock::wallDeadline(ReportTimeout));
       // The head may be written anew at this moment: then nothing was written,
       // and the next try goes by the new token.
       if (Written.ok() && Written->Succeeded_) {
@@ -314,11 +316,12 @@
   // Moves.
 
   void planMoves() {
-    if (!Orders_->mayOrder())
+    if (!Orders_->maySendOrders())
       return;
     const auto Orders = capacity::PoolPlanner().plan(
         Table_->views(),
-        demandOf(Term_->Table_, Term_->Config_, Term_->Learned_, now()),
+        computePoolDemand(Term_->Table_, Term_->Config_, Term_->Estimates_,
+                          now()),
         Table_->homes(), standbyPools(), now());
     for (const capacity::MoveOrder &Order : Orders)
       Orders_->move(Order);
@@ -328,7 +331,7 @@
   SessionsPtr Sessions_;
   Store &Store_;
   Service &Api_;
-  WaveReports Reports_;
+  WaveStatusCodec WaveStatus_;
   journal::CellKeys Keys_{""};
   std::shared_ptr<MachineTable> Table_;
   std::shared_ptr<MachineOrders<Store, Service>> Orders_;
--- a/src/cell/machineorders.h
+++ b/src/cell/machineorders.h
@@ -17,23 +17,23 @@
   static constexpr Duration RetryPause = std::chrono::milliseconds(400);
   /// Orders need a leadership that the store has confirmed lately: a successor
   /// waits for the platform's lease time before its first one.
-  static constexpr Duration OrdersWithoutStore =
+  static constexpr Duration MaxConfirmationAge =
       std::chrono::milliseconds(1000);
 
   MachineOrders(std::shared_ptr<Term<Store>> T, Service &Api,
                 std::shared_ptr<MachineTable> Table)
       : Term_(std::move(T)), Api_(Api), Table_(std::move(Table)) {}
 
-  bool mayOrder() const {
-    return !Term_->over() &&
-           now() - Term_->Lead_.confirmedAt() < OrdersWithoutStore;
+  bool maySendOrders() const {
+    return !Term_->ended() &&
+           now() - Term_->Leadership_.confirmedAt() < MaxConfirmationAge;
   }
 
   /// Begins a machine's upkeep, which the journal notes when it is done.
   void upkeep(const capacity::UpkeepOrder &Order) {
-    Table_->ordered(Order.Machine_, Term_->Bounds_.Upkeep_, now());
+    Table_->orderSent(Order.Machine_, Term_->Bounds_.UpkeepDuration_, now());
     framework::fibers::spawn([Self = this->shared_from_this(), Order] {
-      const MachineResult Result = Self->repeat(Order.Machine_, [&] {
+      const MachineResult Result = Self->sendUntilAnswered(Order.Machine_, [&] {
         return Self->Api_.upkeep(Order.Machine_, Order.Wave_,
                                  Self->Term_->Token_);
       });
@@ -42,7 +42,7 @@
           .field("wave", Order.Wave_.value())
           .field("result", nameOf(Result));
       Self->settleOrder(Order.Machine_, Result);
-      if (Result == MachineResult::Done && !Self->Term_->over())
+      if (Result == MachineResult::Done && !Self->Term_->ended())
         Self->Term_->Commits_.stage(
             jobs::UpkeepBegun{Order.Wave_, Order.Machine_});
     });
@@ -54,9 +54,9 @@
     const auto Life = Table_->lifeOn(Order.Machine_);
     if (Life && Term_->Table_.useOf(*Life))
       return;
-    Table_->ordered(Order.Machine_, Term_->Bounds_.Move_, now());
+    Table_->orderSent(Order.Machine_, Term_->Bounds_.MoveDuration_, now());
     framework::fibers::spawn([Self = this->shared_from_this(), Order] {
-      const MachineResult Result = Self->repeat(Order.Machine_, [&] {
+      const MachineResult Result = Self->sendUntilAnswered(Order.Machine_, [&] {
         return Self->Api_.move(Order.Machine_, Order.To_, Self->Term_->Token_);
       });
       framework::log::info("machine.move")
@@ -76,11 +76,11 @@
   /// Sends an order until it is answered, as long as the machine is as it was
   /// ordered: if it has been carried out, saying it again changes nothing.
   template <typename Call>
-  MachineResult repeat(const MachineId &Machine, const Call &Send) {
+  MachineResult sendUntilAnswered(const MachineId &Machine, const Call &Send) {
     while (true) {
-      if (!noteInJournal(Machine))
+      if (!recordInJournal(Machine))
         return MachineResult::Unknown;
-      if (!asOrdered(Machine)) {
+      if (!orderStillApplies(Machine)) {
         countOrder("given_up");
         framework::log::info("machine.order_given_up")
             .field("machine", Machine.str());
@@ -90,7 +90,7 @@
       countOrder(nameOf(Result));
       const bool Open =
           Result == MachineResult::Unknown || Result == MachineResult::Refused;
-      if (!Open || Term_->over())
+      if (!Open || Term_->ended())
         return Result;
       framework::fibers::sleepFor(RetryPause);
     }
@@ -101,8 +101,8 @@
   /// kills them when it is said again. Nothing starts on the life that it ends
   /// while the order is open, and a machine that still needs it is planned
   /// anew, so to give it up is enough.
-  bool asOrdered(const MachineId &Machine) const {
-    const std::optional<WorkerLife> Life = Table_->lifeOrdered(Machine);
+  bool orderStillApplies(const MachineId &Machine) const {
+    const std::optional<WorkerLife> Life = Table_->lifeEndedByOrder(Machine);
     return Table_->busy(Machine) && Table_->lifeOn(Machine) == Life &&
            !(Life && Term_->Table_.useOf(*Life));
   }
@@ -115,13 +115,13 @@
 
   /// Waits until the store has the note that an order leaves now. False when
   /// the leadership ended first: then nothing may leave.
-  bool noteInJournal(const MachineId &Machine) {
+  bool recordInJournal(const MachineId &Machine) {
     const auto View = Table_->views().find(Machine);
     jobs::MachineOrdered Note{Machine, PoolName()};
     if (View != Table_->views().end())
       Note.From_ = View->second.Record_.Pool_;
-    while (!Term_->over()) {
-      if (stored(Note) && mayOrder())
+    while (!Term_->ended()) {
+      if (stored(Note) && maySendOrders())
         return true;
       framework::fibers::sleepFor(RetryPause);
     }
@@ -135,30 +135,30 @@
       *Known = Outcome;
       Ready->signal();
     });
-    while (!Term_->over() && !*Known)
+    while (!Term_->ended() && !*Known)
       Ready->waitUntil(framework::clock::wallDeadline(RetryPause));
     return *Known == CommitOutcome::Stored;
   }
 
   void settleOrder(const MachineId &Machine, MachineResult Result) {
-    if (Term_->over())
+    if (Term_->ended())
       return;
     if (Result != MachineResult::Done)
-      return Table_->refused(Machine, now());
-    Table_->acknowledged(Machine, now());
-    doubtWorker(Machine);
+      return Table_->orderRefused(Machine, now());
+    Table_->orderAcknowledged(Machine, now());
+    suspectWorker(Machine);
   }
 
   /// The worker that was ordered away may be gone long before any list shows
   /// it, and tasks that it is given meanwhile are lost with it. If the order
   /// had been carried out before, it is alive, answers and is used again.
-  void doubtWorker(const MachineId &Machine) {
-    const auto Life = Table_->lifeOrdered(Machine);
+  void suspectWorker(const MachineId &Machine) {
+    const auto Life = Table_->lifeEndedByOrder(Machine);
     if (!Life)
       return;
     const auto Row = Term_->Workers_.find(*Life);
     if (Row != Term_->Workers_.end())
-      Row->second->doubt();
+      Row->second->suspect();
   }
 
   std::shared_ptr<Term<Store>> Term_;
--- a/src/cell/machinetable.h
+++ b/src/cell/machinetable.h
@@ -18,33 +18,34 @@
 
   using Views = std::map<MachineId, capacity::MachineView>;
 
-  /// \p Settle: least time from an order's acknowledgement to its end; a list
-  /// that shows the machine up before is older than the order.
-  explicit MachineTable(Duration Settle) : Settle_(Settle) {}
+  /// \p MinOrderDuration: least time from an order's acknowledgement to its
+  /// end; a list that shows the machine up before is older than the order.
+  explicit MachineTable(Duration MinOrderDuration)
+      : MinOrderDuration_(MinOrderDuration) {}
 
   /// Takes the platform's list.
-  void takeList(const std::vector<MachineRecord> &List, TimePoint Now);
+  void updateFromList(const std::vector<MachineRecord> &List, TimePoint Now);
 
   /// A worker's entry was seen. A life that is not newer than the last one of
   /// its machine changes nothing.
-  void noteWorker(const WorkerRecord &Record, TimePoint Now);
+  void recordWorker(const WorkerRecord &Record, TimePoint Now);
 
   /// An order for a machine leaves that takes at least \p Takes; until it is
   /// settled the machine is busy.
-  void ordered(const MachineId &Machine, Duration Takes, TimePoint Now);
+  void orderSent(const MachineId &Machine, Duration Takes, TimePoint Now);
   /// The platform has carried out the order, now or earlier: one that was done
   /// before is acknowledged too, and ends nothing.
-  void acknowledged(const MachineId &Machine, TimePoint Now);
+  void orderAcknowledged(const MachineId &Machine, TimePoint Now);
   /// The life that the open order ends, if it has been seen: the one on the
   /// machine when it left, or one from before that was seen only later.
-  std::optional<WorkerLife> lifeOrdered(const MachineId &Machine) const;
+  std::optional<WorkerLife> lifeEndedByOrder(const MachineId &Machine) const;
   /// Lives for which orders were given that were acknowledged before \p Before.
   /// Each is over if a list that is newer says that it is gone.
-  std::set<WorkerLife> orderedAway(TimePoint Before) const;
+  std::set<WorkerLife> livesEndedByOrders(TimePoint Before) const;
   /// The platform has refused the order: nothing was done. The machine is not
   /// moved for a while, since the next order would be refused as well, and each
   /// is paid for.
-  void refused(const MachineId &Machine, TimePoint Now);
+  void orderRefused(const MachineId &Machine, TimePoint Now);
 
   bool busy(const MachineId &Machine) const {
     return Orders_.contains(Machine);
@@ -55,8 +56,8 @@
     Homes_[Machine] = Home;
   }
   /// No order for the machine before \p Until.
-  void leaveAloneUntil(const MachineId &Machine, TimePoint Until) {
-    LeftAlone_[Machine] = Until;
+  void blockOrdersUntil(const MachineId &Machine, TimePoint Until) {
+    OrdersBlockedUntil_[Machine] = Until;
   }
 
   bool heldBack(const MachineId &Machine) const;
@@ -65,7 +66,7 @@
   /// machine is not listed, is not up, or runs another worker. Asked only for
   /// workers that do not answer, since one that is cut off is listed as up, and
   /// for those whose machine was ordered away.
-  bool saysGone(const WorkerRecord &Worker) const;
+  bool showsWorkerGone(const WorkerRecord &Worker) const;
 
   /// Whether the last list shows the worker's process on some machine.
   bool listsWorker(const WorkerId &Worker) const;
@@ -89,16 +90,16 @@
 
   /// A new life has been seen on the machine: it settles the order, or it is
   /// the one that the order ends.
-  void noteLife(const WorkerRecord &Record, TimePoint Now);
+  void settleOrderByLife(const WorkerRecord &Record, TimePoint Now);
 
-  void noteLeftAlone(capacity::MachineView &View) const;
+  void applyOrderBlock(capacity::MachineView &View) const;
 
-  Duration Settle_;
+  Duration MinOrderDuration_;
   Views Views_;
-  std::map<MachineId, WorkerLife> LifeOf_;
+  std::map<MachineId, WorkerLife> CurrentLives_;
   std::map<MachineId, PoolName> Homes_;
   std::map<MachineId, Order> Orders_;
-  std::map<MachineId, TimePoint> LeftAlone_;
+  std::map<MachineId, TimePoint> OrdersBlockedUntil_;
   bool ListSeen_ = false;
 };
 
--- a/src/cell/runstops.h
+++ b/src/cell/runstopper.h
@@ -17,64 +17,65 @@
 /// missing for good, and the run would be kept alive by the very holds that
 /// list it.
 template <store::KeyValueStore Store, WorkerClient Client>
-class RunStops : public std::enable_shared_from_this<RunStops<Store, Client>> {
+class RunStopper
+    : public std::enable_shared_from_this<RunStopper<Store, Client>> {
 public:
   using TermPtr = std::shared_ptr<Term<Store>>;
 
   /// Past this, a run that is to be stopped and still listed is told of.
-  static constexpr Duration StopExpected = std::chrono::milliseconds(1000);
+  static constexpr Duration StopWarningDelay = std::chrono::milliseconds(1000);
 
-  RunStops(TermPtr T, Client &C, std::shared_ptr<RunTracker> Tracker)
+  RunStopper(TermPtr T, Client &C, std::shared_ptr<RunTracker> Tracker)
       : Term_(std::move(T)), Client_(C), Tracker_(std::move(Tracker)) {}
 
   /// Sends the stop of a run at once, if it can leave and none was answered.
-  void order(const jobs::RunName &Run) {
+  void stop(const jobs::RunName &Run) {
     if (!Tracker_->stopped(Run))
-      send(Run);
+      sendStop(Run);
   }
 
   /// Gives the stops that a report, asked for at \p SentAt, calls for.
-  void follow(const WorkerRow &Row, const HoldReply &Reply,
-              const RunTracker::Report &Report, TimePoint SentAt) {
-    for (const RunningRow &Item : Reply.Running_)
-      noteRunsOn(Row, Item.Run_);
+  void handleReport(const WorkerRow &Row, const HoldReply &Reply,
+                    const RunTracker::Report &Report, TimePoint SentAt) {
+    for (const RunningReport &Item : Reply.Running_)
+      warnIfStillRunning(Row, Item.Run_);
     for (const jobs::RunName &Run :
          Tracker_->unwanted(Row.Record_.Life_, SentAt))
-      send(Run);
+      sendStop(Run);
     for (const jobs::RunName &Run : Report.Unknown_)
       stopUnknown(Row, Run);
-    for (const jobs::RunName &Run : Report.Haunting_)
-      layToRest(Row, Run);
+    for (const jobs::RunName &Run : Report.StaleStarts_)
+      stopStaleStart(Row, Run);
   }
 
 private:
   static TimePoint now() { return Term<Store>::now(); }
 
   /// Sends stops of a live run, unless some are on their way.
-  void send(const jobs::RunName &Run) {
+  void sendStop(const jobs::RunName &Run) {
     jobs::LiveRun *Live = Term_->Table_.findLive(Run);
     if (!Live)
       return;
     if (!std::exchange(Live->Stopping_, true))
       Live->StoppingSince_ = now();
-    if (!OnWay_.insert(Run).second)
+    if (!InFlight_.insert(Run).second)
       return;
     framework::fibers::spawn([Self = this->shared_from_this(), Run] {
       Self->stopRun(Run);
-      Self->OnWay_.erase(Run);
+      Self->InFlight_.erase(Run);
     });
   }
 
   /// Sends the stop until it is answered or the run is over. Gives up when it
   /// cannot leave: the worker's next report asks for it again.
   void stopRun(const jobs::RunName &Run) {
-    while (!Term_->over()) {
+    while (!Term_->ended()) {
       const jobs::LiveRun *Live = Term_->Table_.find(Run);
       if (!Live)
         return;
       const auto Worker = Term_->Workers_.find(Live->On_);
       const bool Listed = Worker != Term_->Workers_.end();
-      if (!Listed || !Term_->mayOrder())
+      if (!Listed || !Term_->maySendOrders())
         return logStopWaits(Run, Listed);
       if (stopOnce(Worker->second, Run))
         return;
@@ -97,7 +98,7 @@
     const auto Since = Term_->Table_.unwantedSince(Run);
     const OrderReply Reply =
         Client_.stop(Row->Record_, Run, Term_->Token_, Row->Answers_.wait());
-    Row->noteAnswer(Reply.Result_, SentAt, now());
+    Row->recordAnswer(Reply.Result_, SentAt, now());
     framework::log::info("run.stop")
         .field("task", Run.Task_.str())
         .field("run", Run.Run_.value())
@@ -109,16 +110,16 @@
     // What is on its way to the former life may begin on the new one, whose
     // reports settle it.
     if (Reply.Result_ == OrderResult::OtherLife)
-      Term_->endLife(*Row, "another life answers");
+      Term_->markLifeEnded(*Row, "another life answers");
     return Reply.Result_ == OrderResult::Done ||
            Reply.Result_ == OrderResult::OtherLife;
   }
 
   /// Says once that a run is listed as at work long after it was to be gone.
-  void noteRunsOn(const WorkerRow &Row, const jobs::RunName &Run) {
+  void warnIfStillRunning(const WorkerRow &Row, const jobs::RunName &Run) {
     const auto Since = Term_->Table_.unwantedSince(Run);
     jobs::LiveRun *Live = Term_->Table_.findLive(Run);
-    if (!Since || now() - *Since < StopExpected ||
+    if (!Since || now() - *Since < StopWarningDelay ||
         std::exchange(Live->ToldRunsOn_, true))
       return;
     framework::log::warning("run.runs_on")
@@ -134,7 +135,7 @@
   /// A run that the journal does not know of as live there: an order of an
   /// earlier time that was carried out late.
   void stopUnknown(const WorkerRow &Row, const jobs::RunName &Run) {
-    if (!OnWay_.insert(Run).second)
+    if (!InFlight_.insert(Run).second)
       return;
     framework::log::warning("run.unknown")
         .field("task", Run.Task_.str())
@@ -142,26 +143,27 @@
         .field("worker", Row.Record_.Life_.Id_.str());
     framework::fibers::spawn(
         [Self = this->shared_from_this(), Record = Row.Record_, Run] {
-          Self->stopThere(Record, Run, "the journal does not know it there");
-          Self->OnWay_.erase(Run);
+          Self->sendUntrackedStop(Record, Run,
+                                  "the journal does not know it there");
+          Self->InFlight_.erase(Run);
         });
   }
 
   /// Stops a run of a former life on the one that may have taken its start.
-  void layToRest(const WorkerRow &Row, const jobs::RunName &Run) {
+  void stopStaleStart(const WorkerRow &Row, const jobs::RunName &Run) {
     framework::fibers::spawn(
         [Self = this->shared_from_this(), Record = Row.Record_, Run] {
-          if (Self->stopThere(Record, Run, "meant for its former life"))
-            Self->Tracker_->stopAnsweredLater(Run, now());
+          if (Self->sendUntrackedStop(Record, Run, "meant for its former life"))
+            Self->Tracker_->stopAnsweredByLaterLife(Run, now());
         });
   }
 
   /// One stop of a run that the tables do not show on this life. True when it
   /// was carried out.
-  bool stopThere(const WorkerRecord &Record, const jobs::RunName &Run,
-                 std::string_view Reason) {
+  bool sendUntrackedStop(const WorkerRecord &Record, const jobs::RunName &Run,
+                         std::string_view Reason) {
     const OrderReply Reply =
-        Client_.stop(Record, Run, Term_->Token_, MostAnswerTime);
+        Client_.stop(Record, Run, Term_->Token_, MaxAnswerTimeout);
     framework::log::info("run.stop")
         .field("task", Run.Task_.str())
         .field("run", Run.Run_.value())
@@ -175,7 +177,7 @@
   Client &Client_;
   std::shared_ptr<RunTracker> Tracker_;
   /// Runs for which a fiber sends stops at present.
-  std::set<jobs::RunName> OnWay_;
+  std::set<jobs::RunName> InFlight_;
 };
 
 } // namespace laburnumspread::cell
--- a/src/cell/term.h
+++ b/src/cell/term.h
@@ -11,14 +11,15 @@
 
 /// One leadership of a cell from takeover to loss: the tables, and the queue to
 /// the journal. Everything that works for it holds it by shared ownership and
-/// stops when over() holds.
+/// stops when ended() holds.
 template <store::KeyValueStore Store> struct Term {
   Term(Store &S, const journal::CellKeys &Keys,
-       journal::Leadership<Store> &Lead, framework::metrics::Registry &Metrics,
-       CellBounds Bounds)
-      : Lead_(Lead), Reign_(Lead.reign()), Token_(Lead.token()),
-        Log_(S, Keys, Lead), Commits_(Table_, Log_, Metrics), Metrics_(Metrics),
-        Bounds_(Bounds), BegunAt_(now()) {}
+       journal::Leadership<Store> &Leadership,
+       framework::metrics::Registry &Metrics, CellBounds Bounds)
+      : Leadership_(Leadership), Reign_(Leadership.reign()),
+        Token_(Leadership.token()), Log_(S, Keys, Leadership),
+        Commits_(Table_, Log_, Metrics), Metrics_(Metrics), Bounds_(Bounds),
+        StartedAt_(now()) {}
 
   static TimePoint now() { return framework::clock::SteadyClock().now(); }
 
@@ -29,8 +30,8 @@
 
   /// The worker's process is gone or has started again. What it ran is for the
   /// caller to settle.
-  void endLife(WorkerRow &Row, std::string_view Reason) {
-    if (std::exchange(Row.Over_, true))
+  void markLifeEnded(WorkerRow &Row, std::string_view Reason) {
+    if (std::exchange(Row.Ended_, true))
       return;
     EndedLives_.emplace(Row.Record_.Life_, now());
     framework::log::info("worker.over")
@@ -40,15 +41,15 @@
     Row.wake();
   }
 
-  bool over() const { return Over_ || !Lead_.holds(Reign_); }
+  bool ended() const { return Ended_ || !Leadership_.holds(Reign_); }
 
   /// Whether orders to workers may leave.
-  bool mayOrder() const {
-    return !over() && now() - Lead_.confirmedAt() < OrdersWithoutStore;
+  bool maySendOrders() const {
+    return !ended() && now() - Leadership_.confirmedAt() < StoreOutageTolerance;
   }
 
-  TimePoint inheritedLeaseEnds() const {
-    return cell::inheritedLeaseEnds(BegunAt_, Bounds_.LongestHold_);
+  TimePoint inheritedLeaseExpiry() const {
+    return cell::inheritedLeaseExpiry(StartedAt_, Bounds_.MaxLease_);
   }
 
   TermGauges gauges() const {
@@ -60,13 +61,13 @@
     Result.StoreStalled_ = Commits_.stalled();
     for (const auto &[Life, Use] : Table_.workers())
       for (const jobs::RunName &Run : Use.Runs_)
-        count(Run, Result);
+        countRun(Run, Result);
     for (const auto &[Life, Row] : Workers_)
       Result.WorkersSilent_ += Row->Unanswered_ > 0;
     return Result;
   }
 
-  void count(const jobs::RunName &Run, TermGauges &Into) const {
+  void countRun(const jobs::RunName &Run, TermGauges &Into) const {
     const jobs::LiveRun *Live = Table_.find(Run);
     ++Into.RunsLive_;
     Into.RunsUnconfirmed_ += Live && !Live->Confirmed_;
@@ -77,7 +78,7 @@
     Into.OldestUnwanted_ = std::max(Into.OldestUnwanted_, now() - *Since);
   }
 
-  journal::Leadership<Store> &Lead_;
+  journal::Leadership<Store> &Leadership_;
   journal::Reign Reign_;
   /// Rises when the head is written anew under this leadership.
   jobs::FencingToken Token_;
@@ -89,14 +90,14 @@
   /// some seconds.
   std::map<WorkerLife, TimePoint> EndedLives_;
   CellConfig Config_;
-  scheduling::Estimates Learned_;
-  scheduling::AdviceTable Advised_;
+  scheduling::Estimates Estimates_;
+  scheduling::AdviceTable Advice_;
   framework::metrics::Registry &Metrics_;
   CellBounds Bounds_;
-  TimePoint BegunAt_;
+  TimePoint StartedAt_;
   /// Whether the journal has been read: before, nothing is known of any job.
-  bool Loaded_ = false;
-  bool Over_ = false;
+  bool JournalLoaded_ = false;
+  bool Ended_ = false;
   /// A worker has refused the token: there is a later holder.
   bool Superseded_ = false;
 };
--- a/src/cell/tests/callfatetest.cpp
+++ b/src/cell/tests/callattemptstest.cpp
@@ -4,28 +4,28 @@
 
 namespace laburnumspread::cell {
 
-BOOST_AUTO_TEST_SUITE(CallFateTest)
+BOOST_AUTO_TEST_SUITE(CallAttemptsTest)
 
 BOOST_AUTO_TEST_CASE(UnsentCallIsSurelyNotTaken) {
-  BOOST_TEST(!CallFate().mayBeTaken());
+  BOOST_TEST(!CallAttempts().mayHaveBeenAccepted());
 }
 
 BOOST_AUTO_TEST_CASE(CallThatWasTurnedDownIsNotTaken) {
-  CallFate Fate;
-  Fate.sent();
-  Fate.turnedDown();
-  BOOST_TEST(!Fate.mayBeTaken());
+  CallAttempts Attempts;
+  Attempts.sent();
+  Attempts.rejected();
+  BOOST_TEST(!Attempts.mayHaveBeenAccepted());
 }
 
 // A caller is told "not run" and sends the order elsewhere: the first holder
 // got the call and died, its successor turned the second sending down, and the
 // journal has the job all the same.
 BOOST_AUTO_TEST_CASE(OneAnswerDoesNotSpeakForTwoSendings) {
-  CallFate Fate;
-  Fate.sent();
-  Fate.sent();
-  Fate.turnedDown();
-  BOOST_TEST(Fate.mayBeTaken());
+  CallAttempts Attempts;
+  Attempts.sent();
+  Attempts.sent();
+  Attempts.rejected();
+  BOOST_TEST(Attempts.mayHaveBeenAccepted());
 }
 
 // During an outage a caller's last attempt comes with no time left. It hears
--- a/src/cell/tests/candidacytest.cpp
+++ b/src/cell/tests/candidacytest.cpp
@@ -10,9 +10,9 @@
 
 BOOST_AUTO_TEST_CASE(EqualEntriesDoNotWait) {
   Candidacy Mine(0.25);
-  BOOST_TEST((Mine.wait() == 0us));
-  Mine.note("other", 0.26);
-  BOOST_TEST((Mine.wait() == 0us));
+  BOOST_TEST((Mine.campaignDelay() == 0us));
+  Mine.recordWeight("other", 0.26);
+  BOOST_TEST((Mine.campaignDelay() == 0us));
 }
 
 // Every caller waits seconds for a start: the holder has a tenth of a core and
@@ -20,14 +20,14 @@
 BOOST_AUTO_TEST_CASE(WeakEntriesLetStrongOnesGoFirst) {
   Candidacy Weak(0.12), Middle(0.25), Strong(0.5);
   for (Candidacy *Entry : {&Weak, &Middle, &Strong}) {
-    Entry->note("a", 0.12);
-    Entry->note("b", 0.25);
-    Entry->note("c", 0.5);
+    Entry->recordWeight("a", 0.12);
+    Entry->recordWeight("b", 0.25);
+    Entry->recordWeight("c", 0.5);
   }
-  BOOST_TEST((Strong.wait() == 0us));
-  BOOST_TEST((Middle.wait() > Strong.wait()));
-  BOOST_TEST((Weak.wait() > Middle.wait()));
-  BOOST_TEST((Weak.wait() <= Candidacy::LongestWait));
+  BOOST_TEST((Strong.campaignDelay() == 0us));
+  BOOST_TEST((Middle.campaignDelay() > Strong.campaignDelay()));
+  BOOST_TEST((Weak.campaignDelay() > Middle.campaignDelay()));
+  BOOST_TEST((Weak.campaignDelay() <= Candidacy::MaxCampaignDelay));
 }
 
 BOOST_AUTO_TEST_CASE(NarrowLinkCountsAgainstAnEntry) {
--- a/src/cell/tests/cellsettingstest.cpp
+++ b/src/cell/tests/cellsettingstest.cpp
@@ -34,22 +34,22 @@
       "file");
   BOOST_REQUIRE_MESSAGE(Read.ok(), Read.status().message());
   BOOST_TEST(Read->Name_ == fleet::EntryName("e1"));
-  BOOST_TEST(Read->Machines_.Port_ == 6);
-  BOOST_TEST(Read->Advisor_.Port_ == 0);
-  BOOST_TEST((Read->Bounds_.LongestHold_ == std::chrono::seconds(5)));
-  BOOST_TEST((Read->Bounds_.Move_ == std::chrono::milliseconds(2500)));
+  BOOST_TEST(Read->MachineApiAddress_.Port_ == 6);
+  BOOST_TEST(Read->AdvisorAddress_.Port_ == 0);
+  BOOST_TEST((Read->Bounds_.MaxLease_ == std::chrono::seconds(5)));
+  BOOST_TEST((Read->Bounds_.MoveDuration_ == std::chrono::milliseconds(2500)));
 }
 
 BOOST_AUTO_TEST_CASE(PeersAreToldWhereToConnect) {
-  BOOST_TEST(!readCellSettings(settings(), "file")->PeersAdvertised_);
+  BOOST_TEST(!readCellSettings(settings(), "file")->AdvertisedPeerAddress_);
   std::string Text = settings();
   const std::string Peers = R"("peers": "127.0.0.1:3")";
   Text.replace(Text.find(Peers), Peers.size(),
                Peers + R"(, "peersAdvertised": "127.0.0.1:9")");
   const auto Read = readCellSettings(Text, "file");
   BOOST_REQUIRE_MESSAGE(Read.ok(), Read.status().message());
-  BOOST_TEST(Read->PeersAdvertised_.value().str() == "127.0.0.1:9");
-  BOOST_TEST(Read->Peers_.str() == "127.0.0.1:3");
+  BOOST_TEST(Read->AdvertisedPeerAddress_.value().str() == "127.0.0.1:9");
+  BOOST_TEST(Read->PeerAddress_.str() == "127.0.0.1:3");
 }
 
 BOOST_AUTO_TEST_CASE(FaultsNameTheField) {
@@ -68,12 +68,12 @@
 BOOST_AUTO_TEST_CASE(FieldsThatNeedARestartAreNamed) {
   const CellSettings Before = *readCellSettings(settings(), "file");
   CellSettings After = Before;
-  After.Bounds_.Grace_ = std::chrono::seconds(9);
+  After.Bounds_.GracePeriod_ = std::chrono::seconds(9);
   After.LogLevel_ = framework::log::Level::Warning;
-  BOOST_TEST(needRestart(Before, After) == "");
-  After.Store_.Port_ = 99;
+  BOOST_TEST(settingsNeedingRestart(Before, After) == "");
+  After.StoreAddress_.Port_ = 99;
   After.Zone_ = ZoneName("other");
-  BOOST_TEST(needRestart(Before, After) == "zone,store");
+  BOOST_TEST(settingsNeedingRestart(Before, After) == "zone,store");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/cell/tests/commitqueuetest.cpp
+++ b/src/cell/tests/commitqueuetest.cpp
@@ -18,8 +18,8 @@
 /// A holder with a job of one task.
 struct Fixture {
   Fixture() {
-    BOOST_REQUIRE(*Lead_.campaign());
-    Term_.emplace(Store_, Keys, Lead_, Metrics_, CellBounds());
+    BOOST_REQUIRE(*Leadership_.campaign());
+    Term_.emplace(Store_, Keys, Leadership_, Metrics_, CellBounds());
     jobs::JobAccepted Item;
     Item.Spec_.Id_ = Job;
     Item.Spec_.Steps_.resize(1);
@@ -46,14 +46,14 @@
     Term_->Commits_.run([] {});
     jobs::CellTable Table;
     Table.setAttemptLimit([Attempts](const QueueName &) { return Attempts; });
-    journal::Journal<FakeStore> Log(Store_, Keys, Lead_);
+    journal::Journal<FakeStore> Log(Store_, Keys, Leadership_);
     BOOST_REQUIRE(Log.load(Table, TimePoint()).ok());
     return Table.find(Job)->State_;
   }
 
   FakeStore Store_;
   framework::metrics::Registry Metrics_;
-  journal::Leadership<FakeStore> Lead_{Store_, Keys, journal::Holder()};
+  journal::Leadership<FakeStore> Leadership_{Store_, Keys, journal::Holder()};
   std::optional<Term<FakeStore>> Term_;
   std::uint64_t LastRun_ = 0;
 };
--- a/src/cell/tests/fillerpacetest.cpp
+++ b/src/cell/tests/fillerpacecontrollertest.cpp
@@ -1,4 +1,4 @@
-#include "cell/fillerpace.h"
+#include "cell/fillerpacecontroller.h"
 #include "journal/tests/fakestore.h"
 
 #include <boost/fiber/operations.hpp>
@@ -45,9 +45,9 @@
 /// A holder with a worker on which a filling and a serving task run.
 struct Fixture {
   Fixture()
-      : Lead_(Store_, Keys, journal::Holder()),
-        Term_(std::make_shared<Term<FakeStore>>(Store_, Keys, Lead_, Metrics_,
-                                                CellBounds())),
+      : Leadership_(Store_, Keys, journal::Holder()),
+        Term_(std::make_shared<Term<FakeStore>>(Store_, Keys, Leadership_,
+                                                Metrics_, CellBounds())),
         Fillers_(Term_, Client_) {
     jobs::JobAccepted Job;
     Job.Spec_.Id_ = Filler.Task_.Job_;
@@ -62,22 +62,22 @@
     HoldReply Reply;
     Reply.Running_ = {{Filler, jobs::Checkpoint(), 100, 0},
                       {Serving, jobs::Checkpoint(), 100, TailMs}};
-    Fillers_.take(Row_, Reply);
+    Fillers_.handleReport(Row_, Reply);
     boost::this_fiber::yield();
   }
 
   FakeStore Store_;
   framework::metrics::Registry Metrics_;
-  journal::Leadership<FakeStore> Lead_;
+  journal::Leadership<FakeStore> Leadership_;
   std::shared_ptr<Term<FakeStore>> Term_;
   PaceClient Client_;
-  FillerPace<FakeStore, PaceClient> Fillers_;
+  FillerPaceController<FakeStore, PaceClient> Fillers_;
   WorkerRow Row_;
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(FillerPaceTest, Fixture)
+BOOST_FIXTURE_TEST_SUITE(FillerPaceControllerTest, Fixture)
 
 // A filling task works slowly for good: a holder had cut its pace and was
 // followed by another while the tasks beside it were well again. The new one
--- a/src/cell/tests/machinestest.cpp
+++ b/src/cell/tests/machinemanagertest.cpp
@@ -1,4 +1,4 @@
-#include "cell/machines.h"
+#include "cell/machinemanager.h"
 #include "journal/tests/fakestore.h"
 
 #include <boost/test/unit_test.hpp>
@@ -62,24 +62,24 @@
   std::uint32_t Upkeeps_ = 0;
 };
 
-using TestedMachines = Machines<FakeStore, SilentClient, FakeMachines>;
+using TestedManager = MachineManager<FakeStore, SilentClient, FakeMachines>;
 
 /// A holder, and a machine that is listed as down.
 struct Fixture {
   Fixture() {
-    BOOST_REQUIRE(*Lead_.campaign());
-    Term_ = std::make_shared<Term<FakeStore>>(Store_, Keys, Lead_, Metrics_,
-                                              bounds());
-    Talks_ =
-        std::make_shared<Sessions<FakeStore, SilentClient>>(Term_, Client_);
-    Tested_ = std::make_shared<TestedMachines>(Term_, Talks_, Store_, Api_,
-                                               reports());
+    BOOST_REQUIRE(*Leadership_.campaign());
+    Term_ = std::make_shared<Term<FakeStore>>(Store_, Keys, Leadership_,
+                                              Metrics_, bounds());
+    Sessions_ = std::make_shared<WorkerSessions<FakeStore, SilentClient>>(
+        Term_, Client_);
+    Tested_ = std::make_shared<TestedManager>(Term_, Sessions_, Store_, Api_,
+                                              reports());
     MachineRecord Down;
     Down.Id_ = Machine;
     Api_.Machines_ = {Down};
   }
 
-  static WaveReports reports() {
+  static WaveStatusCodec reports() {
     return {[](WaveNumber) { return std::string("wave"); },
             [](bool) { return std::string("told"); }};
   }
@@ -87,18 +87,18 @@
   /// Nobody has ordered the machine before.
   static CellBounds bounds() {
     CellBounds Result;
-    Result.MachineLease_ = Duration::zero();
+    Result.MachineOrderLease_ = Duration::zero();
     return Result;
   }
 
   ~Fixture() {
-    Term_->Over_ = true;
+    Term_->Ended_ = true;
     Term_->Commits_.stop();
     if (Commits_.joinable())
       Commits_.join();
     // Its loops use what goes with this fixture.
-    while (Tested_.use_count() > 1 || Talks_.use_count() > 2)
-      framework::fibers::sleepFor(TestedMachines::PlanEvery);
+    while (Tested_.use_count() > 1 || Sessions_.use_count() > 2)
+      framework::fibers::sleepFor(TestedManager::PlanInterval);
   }
 
   /// The machine's worker comes up, and its first answer is lost.
@@ -108,7 +108,7 @@
     Row_->ListedAt_ = Term<FakeStore>::now();
     Row_->Unanswered_ = 1;
     Term_->Workers_[Row_->Record_.Life_] = Row_;
-    Tested_->noteWorker(Row_->Record_);
+    Tested_->recordWorker(Row_->Record_);
   }
 
   /// A task starts on the worker.
@@ -126,7 +126,7 @@
   /// A wave asks for the machine's upkeep, and orders may leave.
   void beginUpkeep() {
     Api_.Machines_.front().State_ = MachineState::Up;
-    Term_->Loaded_ = true;
+    Term_->JournalLoaded_ = true;
     Commits_ = boost::fibers::fiber([this] { Term_->Commits_.run([] {}); });
     WaveRecord Wave;
     Wave.Number_ = WaveNumber(7);
@@ -144,17 +144,17 @@
   SilentClient Client_;
   FakeMachines Api_;
   framework::metrics::Registry Metrics_;
-  journal::Leadership<FakeStore> Lead_{Store_, Keys, journal::Holder()};
+  journal::Leadership<FakeStore> Leadership_{Store_, Keys, journal::Holder()};
   std::shared_ptr<Term<FakeStore>> Term_;
-  std::shared_ptr<Sessions<FakeStore, SilentClient>> Talks_;
-  std::shared_ptr<TestedMachines> Tested_;
+  std::shared_ptr<WorkerSessions<FakeStore, SilentClient>> Sessions_;
+  std::shared_ptr<TestedManager> Tested_;
   WorkerRowPtr Row_ = std::make_shared<WorkerRow>();
   boost::fibers::fiber Commits_;
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(MachinesTest, Fixture)
+BOOST_FIXTURE_TEST_SUITE(MachineManagerTest, Fixture)
 
 // Tasks start a second time while they work, and a new worker gets no more. A
 // list of machines takes longer than it may be old; the worker comes up after
@@ -163,13 +163,14 @@
 BOOST_AUTO_TEST_CASE(ListIsAsOldAsItsQuestion) {
   Api_.BeforeList_ = [&] {
     comeUp();
-    while (!Row_->silentSince(Term<FakeStore>::now() - TestedMachines::ListLag))
-      framework::fibers::sleepFor(TestedMachines::PlanEvery);
+    while (
+        !Row_->silentSince(Term<FakeStore>::now() - TestedManager::MaxListLag))
+      framework::fibers::sleepFor(TestedManager::PlanInterval);
   };
   Tested_->start();
   while (Api_.Lists_ == 0)
-    framework::fibers::sleepFor(TestedMachines::PlanEvery);
-  BOOST_TEST(!Row_->Over_);
+    framework::fibers::sleepFor(TestedManager::PlanInterval);
+  BOOST_TEST(!Row_->Ended_);
 }
 
 // Tasks are lost with their machine while nothing is wrong with them. An order
@@ -183,7 +184,7 @@
   };
   beginUpkeep();
   while (Api_.Upkeeps_ < 2 && orders("given_up") == 0)
-    framework::fibers::sleepFor(TestedMachines::PlanEvery);
+    framework::fibers::sleepFor(TestedManager::PlanInterval);
   BOOST_TEST(Api_.Upkeeps_ == 1u);
 }
 
@@ -198,11 +199,11 @@
   };
   beginUpkeep();
   while (orders("done") == 0)
-    framework::fibers::sleepFor(TestedMachines::PlanEvery);
+    framework::fibers::sleepFor(TestedManager::PlanInterval);
   const std::uint32_t Before = Api_.Lists_;
   while (Api_.Lists_ < Before + 3)
-    framework::fibers::sleepFor(TestedMachines::PlanEvery);
-  BOOST_TEST(!Row_->Over_);
+    framework::fibers::sleepFor(TestedManager::PlanInterval);
+  BOOST_TEST(!Row_->Ended_);
   BOOST_TEST(Term_->Table_.useOf(Row_->Record_.Life_));
 }
 
--- a/src/cell/tests/machinetabletest.cpp
+++ b/src/cell/tests/machinetabletest.cpp
@@ -33,10 +33,10 @@
 
 BOOST_AUTO_TEST_CASE(NewWorkerSettlesTheOrder) {
   MachineTable Table(1500ms);
-  Table.noteWorker(worker(1), Start);
-  Table.ordered(Machine, 1500ms, Start);
-  Table.acknowledged(Machine, Start);
-  Table.noteWorker(worker(2), Start + 2s);
+  Table.recordWorker(worker(1), Start);
+  Table.orderSent(Machine, 1500ms, Start);
+  Table.orderAcknowledged(Machine, Start);
+  Table.recordWorker(worker(2), Start + 2s);
   BOOST_TEST(!Table.busy(Machine));
 }
 
@@ -45,11 +45,11 @@
 // went down a moment ago. Each took its machine for back.
 BOOST_AUTO_TEST_CASE(EntryOfTheFormerWorkerDoesNotSettleTheOrder) {
   MachineTable Table(1500ms);
-  Table.noteWorker(worker(1), Start);
-  Table.ordered(Machine, 1500ms, Start);
-  Table.acknowledged(Machine, Start);
-  Table.takeList({listed(MachineState::Upkeep)}, Start + 500ms);
-  Table.noteWorker(worker(1), Start + 1s);
+  Table.recordWorker(worker(1), Start);
+  Table.orderSent(Machine, 1500ms, Start);
+  Table.orderAcknowledged(Machine, Start);
+  Table.updateFromList({listed(MachineState::Upkeep)}, Start + 500ms);
+  Table.recordWorker(worker(1), Start + 1s);
   BOOST_TEST(Table.busy(Machine));
 }
 
@@ -59,13 +59,13 @@
 // and was taken for that after the upkeep.
 BOOST_AUTO_TEST_CASE(LifeFromBeforeTheOrderDoesNotSettleIt) {
   MachineTable Table(2000ms);
-  Table.noteWorker(worker(1), Start);
-  Table.ordered(Machine, 2000ms, Start);
-  Table.acknowledged(Machine, Start + 10ms);
-  Table.noteWorker(worker(2), Start + 300ms);
+  Table.recordWorker(worker(1), Start);
+  Table.orderSent(Machine, 2000ms, Start);
+  Table.orderAcknowledged(Machine, Start + 10ms);
+  Table.recordWorker(worker(2), Start + 300ms);
   BOOST_TEST(Table.busy(Machine));
-  BOOST_TEST((Table.lifeOrdered(Machine) == worker(2).Life_));
-  Table.noteWorker(worker(3), Start + 2000ms);
+  BOOST_TEST((Table.lifeEndedByOrder(Machine) == worker(2).Life_));
+  Table.recordWorker(worker(3), Start + 2000ms);
   BOOST_TEST(!Table.busy(Machine));
 }
 
@@ -73,12 +73,12 @@
 // ago. It learns of the machine only later, by the list or by its worker.
 BOOST_AUTO_TEST_CASE(MachineIsLeftAloneHoweverItBecomesKnown) {
   MachineTable Table(1500ms);
-  Table.leaveAloneUntil(Machine, Start + 3s);
-  Table.noteWorker(worker(1), Start);
+  Table.blockOrdersUntil(Machine, Start + 3s);
+  Table.recordWorker(worker(1), Start);
   BOOST_TEST((Table.views()[Machine].NoOrderBefore_ == Start + 3s));
   MachineTable Other(1500ms);
-  Other.leaveAloneUntil(Machine, Start + 3s);
-  Other.takeList({listed(MachineState::Up)}, Start);
+  Other.blockOrdersUntil(Machine, Start + 3s);
+  Other.updateFromList({listed(MachineState::Up)}, Start);
   BOOST_TEST((Other.views()[Machine].NoOrderBefore_ == Start + 3s));
 }
 
@@ -88,9 +88,9 @@
 // machines): the same order left again at each look, ten a second.
 BOOST_AUTO_TEST_CASE(RefusedMachineIsLeftAloneForAWhile) {
   MachineTable Table(1500ms);
-  Table.noteWorker(worker(1), Start);
-  Table.ordered(Machine, 1500ms, Start);
-  Table.refused(Machine, Start + 10ms);
+  Table.recordWorker(worker(1), Start);
+  Table.orderSent(Machine, 1500ms, Start);
+  Table.orderRefused(Machine, Start + 10ms);
   BOOST_TEST(!Table.busy(Machine));
   BOOST_TEST((Table.views()[Machine].NoOrderBefore_ ==
               Start + 10ms + MachineTable::PauseAfterRefusal));
@@ -99,7 +99,7 @@
 BOOST_AUTO_TEST_CASE(HomeIsKeptOverTakeovers) {
   MachineTable Table(1500ms);
   Table.setHome(Machine, PoolName("standby"));
-  Table.takeList({listed(MachineState::Up)}, Start);
+  Table.updateFromList({listed(MachineState::Up)}, Start);
   BOOST_TEST(Table.homes().at(Machine) == PoolName("standby"));
 }
 
@@ -107,13 +107,13 @@
 // machine has not even gone down yet.
 BOOST_AUTO_TEST_CASE(EarlyListDoesNotSettleTheOrder) {
   MachineTable Table(1500ms);
-  Table.ordered(Machine, 1500ms, Start);
-  Table.takeList({listed(MachineState::Up)}, Start + 10s);
+  Table.orderSent(Machine, 1500ms, Start);
+  Table.updateFromList({listed(MachineState::Up)}, Start + 10s);
   BOOST_TEST(Table.busy(Machine));
-  Table.acknowledged(Machine, Start + 10s);
-  Table.takeList({listed(MachineState::Up)}, Start + 11s);
+  Table.orderAcknowledged(Machine, Start + 10s);
+  Table.updateFromList({listed(MachineState::Up)}, Start + 11s);
   BOOST_TEST(Table.busy(Machine));
-  Table.takeList({listed(MachineState::Up)}, Start + 12s);
+  Table.updateFromList({listed(MachineState::Up)}, Start + 12s);
   BOOST_TEST(!Table.busy(Machine));
 }
 
@@ -121,18 +121,18 @@
 // say before its lease ends that it is not.
 BOOST_AUTO_TEST_CASE(ListTellsWhichSilentWorkersAreGone) {
   MachineTable Table(1500ms);
-  BOOST_TEST(!Table.saysGone(worker(1)));
+  BOOST_TEST(!Table.showsWorkerGone(worker(1)));
   MachineRecord Up = listed(MachineState::Up);
   Up.Worker_ = worker(1).Life_.Id_;
-  Table.takeList({Up}, Start);
-  BOOST_TEST(!Table.saysGone(worker(1)));
+  Table.updateFromList({Up}, Start);
+  BOOST_TEST(!Table.showsWorkerGone(worker(1)));
   BOOST_TEST(Table.listsWorker(worker(1).Life_.Id_));
-  BOOST_TEST(Table.saysGone(worker(2)));
-  Table.takeList({listed(MachineState::Down)}, Start);
-  BOOST_TEST(Table.saysGone(worker(1)));
+  BOOST_TEST(Table.showsWorkerGone(worker(2)));
+  Table.updateFromList({listed(MachineState::Down)}, Start);
+  BOOST_TEST(Table.showsWorkerGone(worker(1)));
   BOOST_TEST(!Table.listsWorker(worker(1).Life_.Id_));
-  Table.takeList({}, Start);
-  BOOST_TEST(Table.saysGone(worker(1)));
+  Table.updateFromList({}, Start);
+  BOOST_TEST(Table.showsWorkerGone(worker(1)));
 }
 
 // An order that was done before is acknowledged as well, and an order that is
@@ -140,16 +140,17 @@
 // for may count as ended by it, and only if a list that is newer says so.
 BOOST_AUTO_TEST_CASE(OrderEndsOnlyTheLifeThatItWasGivenFor) {
   MachineTable Table(1500ms);
-  Table.noteWorker(worker(1), Start);
-  Table.ordered(Machine, 1500ms, Start);
-  BOOST_TEST(Table.orderedAway(Start + 2s).empty());
-  BOOST_TEST((Table.lifeOrdered(Machine) == worker(1).Life_));
-  Table.acknowledged(Machine, Start + 1s);
-  BOOST_TEST(Table.orderedAway(Start + 1s).empty());
-  BOOST_TEST((Table.orderedAway(Start + 2s) == std::set{worker(1).Life_}));
-  Table.noteWorker(worker(2), Start + 3s);
-  Table.acknowledged(Machine, Start + 4s);
-  BOOST_TEST(Table.orderedAway(Start + 5s).empty());
+  Table.recordWorker(worker(1), Start);
+  Table.orderSent(Machine, 1500ms, Start);
+  BOOST_TEST(Table.livesEndedByOrders(Start + 2s).empty());
+  BOOST_TEST((Table.lifeEndedByOrder(Machine) == worker(1).Life_));
+  Table.orderAcknowledged(Machine, Start + 1s);
+  BOOST_TEST(Table.livesEndedByOrders(Start + 1s).empty());
+  BOOST_TEST(
+      (Table.livesEndedByOrders(Start + 2s) == std::set{worker(1).Life_}));
+  Table.recordWorker(worker(2), Start + 3s);
+  Table.orderAcknowledged(Machine, Start + 4s);
+  BOOST_TEST(Table.livesEndedByOrders(Start + 5s).empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/cell/tests/modelworker.h
+++ b/src/cell/tests/modelworker.h
@@ -24,7 +24,7 @@
   FencingToken Token_;
   std::int64_t LeaseEndMs_ = 0;
   std::set<RunName> Running_;
-  std::vector<EndRow> Ends_;
+  std::vector<EndReport> Ends_;
   std::uint64_t NextEnd_ = 1;
   /// Runs up to here of a task can not start any more.
   std::map<TaskName, RunNumber> Blocked_;
@@ -99,8 +99,8 @@
       extend(Order.DeadlineMs_, Now);
     Reply.Result_ =
         Born == BornMs_ ? OrderResult::Done : OrderResult::OtherLife;
-    std::erase_if(Ends_, [&](const EndRow &Row) {
-      return Row.Number_ <= Order.LastSeen_;
+    std::erase_if(Ends_, [&](const EndReport &Row) {
+      return Row.Number_ <= Order.AcknowledgedEnds_;
     });
     for (const RunName &Run : Running_)
       Reply.Running_.push_back({Run, jobs::Checkpoint(), 100, 0});
--- a/src/cell/tests/pooldemandtest.cpp
+++ b/src/cell/tests/pooldemandtest.cpp
@@ -39,7 +39,7 @@
   }
 
   capacity::PoolDemand demand(Duration After) {
-    return demandOf(Table_, Config_, Learned_, Start + After)[Kitchen];
+    return computePoolDemand(Table_, Config_, Learned_, Start + After)[Kitchen];
   }
 
   jobs::CellTable Table_;
@@ -99,7 +99,7 @@
 
 BOOST_AUTO_TEST_CASE(JobsOfARemovedQueueAskForNothing) {
   accept("a", {step(4)}, "removed");
-  BOOST_TEST(demandOf(Table_, Config_, Learned_, Start).empty());
+  BOOST_TEST(computePoolDemand(Table_, Config_, Learned_, Start).empty());
 }
 
 // One large job foretells nothing; only many small ones count as inflow, and
@@ -112,9 +112,9 @@
   }
   BOOST_TEST(demand(0s).Coming_.likely() > 0);
   BOOST_TEST(demand(0s).CameBefore_.likely() == 0);
-  BOOST_TEST(demand(InflowWindow).Coming_.likely() == 0);
-  BOOST_TEST(demand(InflowWindow).CameBefore_.likely() > 0);
-  BOOST_TEST(demand(2 * InflowWindow).CameBefore_.likely() == 0);
+  BOOST_TEST(demand(ArrivalWindow).Coming_.likely() == 0);
+  BOOST_TEST(demand(ArrivalWindow).CameBefore_.likely() > 0);
+  BOOST_TEST(demand(2 * ArrivalWindow).CameBefore_.likely() == 0);
 }
 
 // Short jobs that are done before the next look still tell how fast work comes
--- a/src/cell/tests/runmodel.h
+++ b/src/cell/tests/runmodel.h
@@ -41,7 +41,7 @@
 constexpr auto CancelTime = 3000ms + 200ms;
 /// A message and its answer take one each while things are quiet.
 constexpr auto QuietTick = 50ms;
-constexpr int MostTicksToList = 20;
+constexpr int MaxTicksToList = 20;
 /// Each task fills a worker.
 const Resources Room{1000, 0, 0};
 
@@ -51,28 +51,28 @@
 };
 
 /// An entry that leads, or believes so.
-struct ModelHolder {
-  explicit ModelHolder(FencingToken Token, TimePoint Now)
-      : Token_(Token), ConfirmedAt_(Now), BegunAt_(Now), Tracker_(Table_) {}
+struct ModelLeader {
+  explicit ModelLeader(FencingToken Token, TimePoint Now)
+      : Token_(Token), ConfirmedAt_(Now), StartedAt_(Now), Tracker_(Table_) {}
 
   const FencingToken Token_;
   TimePoint ConfirmedAt_;
-  TimePoint BegunAt_;
+  TimePoint StartedAt_;
   jobs::CellTable Table_;
   RunTracker Tracker_;
   /// Empty where no worker is known.
   std::array<WorkerRowPtr, WorkerCount> Rows_;
   std::set<WorkerLife> EndedLives_;
   /// Runs with a stop that has neither been answered nor given up.
-  std::set<RunName> StopsOnWay_;
+  std::set<RunName> StopsInFlight_;
   bool Active_ = true;
 
-  bool mayOrder(TimePoint Now) const {
-    return Active_ && Now - ConfirmedAt_ < OrdersWithoutStore;
+  bool maySendOrders(TimePoint Now) const {
+    return Active_ && Now - ConfirmedAt_ < StoreOutageTolerance;
   }
 };
 
-using HolderPtr = std::shared_ptr<ModelHolder>;
+using LeaderPtr = std::shared_ptr<ModelLeader>;
 
 /// An order on its way.
 struct Message {
@@ -81,12 +81,12 @@
     Hold,
     Stop,
     /// Of a run that was meant for a former life.
-    StopLater,
+    StopStaleStart,
     /// Of a run that the journal does not know there.
     StopUnknown,
   };
   Kind Kind_ = Kind::Hold;
-  HolderPtr From_;
+  LeaderPtr From_;
   std::size_t To_ = 0;
   WorkerRowPtr Row_;
   std::int64_t Born_ = 0;
@@ -94,7 +94,7 @@
   StartOrder Start_;
   HoldOrder Hold_;
   int Attempt_ = 0;
-  bool CarriedOut_ = false;
+  bool Executed_ = false;
   /// The sender waits no longer.
   bool Abandoned_ = false;
   OrderReply Reply_;
@@ -108,7 +108,7 @@
   Model() {
     for (std::size_t I = 0; I < WorkerCount; ++I) {
       Workers_[I].Id_ = WorkerId("w" + std::to_string(I));
-      Workers_[I].Rate_ = I == 0 ? SlowestClock : 1;
+      Workers_[I].Rate_ = I == 0 ? MinClockRate : 1;
     }
     takeOver(ListAll);
   }
@@ -124,10 +124,10 @@
       return holdSomething(Detail);
     case 3:
     case 4:
-      return carryOut(Detail);
+      return execute(Detail);
     case 5:
     case 6:
-      return bringAnswer(Detail);
+      return deliverAnswer(Detail);
     case 7:
       return loseAnswer(Detail);
     case 8:
@@ -135,9 +135,9 @@
     case 9:
       // A former process of the same entry is dead and need not be waited for.
       if (Detail % 4 == 0)
-        Holders_.back()->Active_ = false;
-      if (Now_ - Holders_.back()->ConfirmedAt_ > StoreLease ||
-          !Holders_.back()->Active_)
+        Leaders_.back()->Active_ = false;
+      if (Now_ - Leaders_.back()->ConfirmedAt_ > StoreLease ||
+          !Leaders_.back()->Active_)
         takeOver(Detail / 4);
       return;
     case 10:
@@ -156,14 +156,14 @@
     // Without hindrance, so that schedules come far.
     case 15:
       startSomething(Detail);
-      return bringLastThrough();
+      return deliverLast();
     case 16:
       holdSomething(Detail);
-      return bringLastThrough();
+      return deliverLast();
     case 17:
-      return bringMessagesOn();
+      return deliverMessages();
     case 18:
-      return listAll(*Holders_.back());
+      return listAll(*Leaders_.back());
     case 19:
       if (Detail / 3 % 4 == 0)
         settle(Detail);
@@ -179,14 +179,14 @@
   /// workers or in the tables, and nothing that this holder has told to stop.
   void settle(int Detail) {
     cancelSomething(Detail);
-    if (!Holders_.back()->Active_)
+    if (!Leaders_.back()->Active_)
       takeOver(Detail);
-    Leftovers_ += runsOfEndedJobs();
+    RunsToStop_ += runsOfEndedJobs();
     const TimePoint Until = Now_ + CancelTime;
     for (int Tick = 0; Now_ < Until; ++Tick)
       quietTick(Tick, Detail);
     RC_ASSERT(runsOfEndedJobs() == 0u);
-    const jobs::CellTable &Table = Holders_.back()->Table_;
+    const jobs::CellTable &Table = Leaders_.back()->Table_;
     for (const auto &[Life, Use] : Table.workers())
       for (const RunName &Run : Use.Runs_) {
         RC_ASSERT(!Table.find(Run.Task_.Job_)->ended());
@@ -199,7 +199,7 @@
 
   std::uint64_t starts() const { return Starts_; }
   /// Tasks of ended jobs that were at work when the adversary went quiet.
-  std::uint64_t leftovers() const { return Leftovers_; }
+  std::uint64_t runsToStop() const { return RunsToStop_; }
 
 private:
   static constexpr int ListAll = (1 << WorkerCount) - 1;
@@ -212,13 +212,13 @@
   void passTime(int Detail) {
     Now_ += std::chrono::milliseconds(20 + Detail * 37);
     if (Detail % 4 != 0)
-      Holders_.back()->ConfirmedAt_ = Now_;
+      Leaders_.back()->ConfirmedAt_ = Now_;
   }
 
   /// Newer holders are chosen more often; former ones go on for a while.
-  HolderPtr someHolder(int Detail) {
-    return Detail % 3 == 0 ? Holders_[pick(Detail / 3, Holders_.size())]
-                           : Holders_.back();
+  LeaderPtr someLeader(int Detail) {
+    return Detail % 3 == 0 ? Leaders_[pick(Detail / 3, Leaders_.size())]
+                           : Leaders_.back();
   }
 
   /// A holder begins. The bits of \p Listed name the workers that it knows when
@@ -226,32 +226,32 @@
   void takeOver(int Listed) {
     // The former holder's head is gone: the store confirms it no more.
     Journal_.Head_ = FencingToken(++Revision_);
-    auto Holder = std::make_shared<ModelHolder>(Journal_.Head_, Now_);
+    auto Leader = std::make_shared<ModelLeader>(Journal_.Head_, Now_);
     for (const Event &Item : Journal_.Log_)
-      Holder->Table_.apply(Item, Now_);
-    Holders_.push_back(Holder);
+      Leader->Table_.apply(Item, Now_);
+    Leaders_.push_back(Leader);
     for (std::size_t I = 0; I < WorkerCount; ++I)
       if ((Listed >> I) % 2 == 1)
-        list(*Holder, I, Workers_[I].BornMs_);
-    for (const auto &[Id, Job] : Holder->Table_.jobs())
+        list(*Leader, I, Workers_[I].BornMs_);
+    for (const auto &[Id, Job] : Leader->Table_.jobs())
       if (Job.ended() && Job.LiveRuns_ > 0)
-        stopJob(Holder, Id);
+        stopJob(Leader, Id);
   }
 
   void changeList(int Detail) {
-    const HolderPtr Holder = someHolder(Detail);
+    const LeaderPtr Leader = someLeader(Detail);
     const std::size_t I = pick(Detail, WorkerCount);
     const int What = Detail / 6 % 5;
     if (What == 0)
-      return unlist(*Holder, I);
+      return unlist(*Leader, I);
     // The entry of a former life may stay for some seconds.
-    list(*Holder, I, Workers_[I].BornMs_ - (What == 1 ? 1 : 0));
+    list(*Leader, I, Workers_[I].BornMs_ - (What == 1 ? 1 : 0));
   }
 
-  void list(ModelHolder &Holder, std::size_t I, std::int64_t Born) {
+  void list(ModelLeader &Leader, std::size_t I, std::int64_t Born) {
     const WorkerLife Life{Workers_[I].Id_, Born};
-    WorkerRowPtr &Row = Holder.Rows_[I];
-    if (Born < 1 || Holder.EndedLives_.contains(Life) ||
+    WorkerRowPtr &Row = Leader.Rows_[I];
+    if (Born < 1 || Leader.EndedLives_.contains(Life) ||
         (Row && Row->Record_.Life_.BornMs_ > Born))
       return;
     if (Row && Row->Record_.Life_ == Life) {
@@ -259,84 +259,84 @@
       return;
     }
     if (Row)
-      lifeOver(Holder, *Row);
+      endLife(Leader, *Row);
     Row = std::make_shared<WorkerRow>();
     Row->Record_.Life_ = Life;
     Row->ClockAt_ = Now_;
   }
 
-  void listAll(ModelHolder &Holder) {
+  void listAll(ModelLeader &Leader) {
     for (std::size_t I = 0; I < WorkerCount; ++I)
-      list(Holder, I, Workers_[I].BornMs_);
+      list(Leader, I, Workers_[I].BornMs_);
   }
 
   /// The row goes with the last reason to ask the worker.
-  static void unlist(ModelHolder &Holder, std::size_t I) {
-    WorkerRowPtr &Row = Holder.Rows_[I];
+  static void unlist(ModelLeader &Leader, std::size_t I) {
+    WorkerRowPtr &Row = Leader.Rows_[I];
     if (!Row)
       return;
     Row->Listed_ = false;
-    if (!needsHold(Holder, *Row))
+    if (!needsHold(Leader, *Row))
       Row = nullptr;
   }
 
-  static void lifeOver(ModelHolder &Holder, WorkerRow &Row) {
-    Row.Over_ = true;
-    Holder.EndedLives_.insert(Row.Record_.Life_);
+  static void endLife(ModelLeader &Leader, WorkerRow &Row) {
+    Row.Ended_ = true;
+    Leader.EndedLives_.insert(Row.Record_.Life_);
   }
 
-  static bool needsHold(const ModelHolder &Holder, const WorkerRow &Row) {
-    const bool FellSilent = Row.Listed_ && Row.Unanswered_ > 0;
-    return !Row.Synced_ || Row.Haunted_ || FellSilent ||
-           Row.EndsStored_ > Row.EndsTold_ ||
-           Holder.Table_.useOf(Row.Record_.Life_) != nullptr;
+  static bool needsHold(const ModelLeader &Leader, const WorkerRow &Row) {
+    const bool ListedButSilent = Row.Listed_ && Row.Unanswered_ > 0;
+    return !Row.Synced_ || Row.MayRunStaleStarts_ || ListedButSilent ||
+           Row.EndsStored_ > Row.EndsAcknowledged_ ||
+           Leader.Table_.useOf(Row.Record_.Life_) != nullptr;
   }
 
   /// Commits events, or ends the holder.
-  bool commit(ModelHolder &Holder, const std::vector<Event> &Events) {
-    if (Holder.Token_ != Journal_.Head_) {
-      Holder.Active_ = false;
+  bool commit(ModelLeader &Leader, const std::vector<Event> &Events) {
+    if (Leader.Token_ != Journal_.Head_) {
+      Leader.Active_ = false;
       return false;
     }
-    Holder.ConfirmedAt_ = Now_;
+    Leader.ConfirmedAt_ = Now_;
     for (const Event &Item : Events) {
       Journal_.Log_.push_back(Item);
-      Holder.Table_.apply(Item, Now_);
+      Leader.Table_.apply(Item, Now_);
     }
     return true;
   }
 
   void startSomething(int Detail) {
-    const HolderPtr Holder = someHolder(Detail);
-    if (!Holder->mayOrder(Now_))
+    const LeaderPtr Leader = someLeader(Detail);
+    if (!Leader->maySendOrders(Now_))
       return;
     const std::size_t I = pick(Detail, WorkerCount);
-    const WorkerRowPtr Row = Holder->Rows_[I];
-    if (!Row || !Row->usable())
+    const WorkerRowPtr Row = Leader->Rows_[I];
+    if (!Row || !Row->acceptsTasks())
       return;
-    const jobs::WorkerUse *Use = Holder->Table_.useOf(Row->Record_.Life_);
+    const jobs::WorkerUse *Use = Leader->Table_.useOf(Row->Record_.Life_);
     if (Use && !(Use->Used_ + Room).fitsInto(Room))
       return;
-    if (Holder->Table_.open().size() < OpenJobs && !acceptJob(*Holder))
+    if (Leader->Table_.open().size() < OpenJobs && !acceptJob(*Leader))
       return;
-    const auto Task = idleTask(Holder->Table_);
+    const auto Task = idleTask(Leader->Table_);
     if (!Task)
       return;
     jobs::RunIntended Item;
-    Item.Run_ = {*Task, Holder->Table_.find(*Task)->LastRun_.next()};
+    Item.Run_ = {*Task, Leader->Table_.find(*Task)->LastRun_.next()};
     Item.On_ = Row->Record_.Life_;
-    Holder->Tracker_.staged(Item.Run_);
-    if (commit(*Holder, {Item}))
-      sendStart(Holder, Row, Item.Run_);
+    Leader->Tracker_.runStaged(Item.Run_);
+    if (commit(*Leader, {Item}))
+      sendStart(Leader, Row, Item.Run_);
   }
 
-  bool acceptJob(ModelHolder &Holder) {
+  bool acceptJob(ModelLeader &Leader) {
     jobs::JobAccepted Item;
-    Item.Spec_.Id_ = JobId("j" + std::to_string(Holder.Table_.jobs().size()));
+    Item.Spec_.Id_ = JobId("j" + std::to_string(Leader.Table_.jobs().size()));
     Item.Spec_.Steps_.resize(1);
     Item.Spec_.Steps_[0].Count_ = TaskCount;
     Item.Spec_.Steps_[0].Each_ = Room;
-    return commit(Holder, {Item});
+    return commit(Leader, {Item});
   }
 
   static std::optional<TaskName> idleTask(const jobs::CellTable &Table) {
@@ -347,20 +347,20 @@
     return std::nullopt;
   }
 
-  void sendStart(const HolderPtr &Holder, const WorkerRowPtr &Row,
+  void sendStart(const LeaderPtr &Leader, const WorkerRowPtr &Row,
                  const RunName &Run) {
     auto Item = std::make_shared<Message>();
     Item->Kind_ = Message::Kind::Start;
     Item->Start_.Run_ = Run;
-    Item->Start_.Token_ = Holder->Token_;
+    Item->Start_.Token_ = Leader->Token_;
     Item->Start_.DeadlineMs_ = Row->clockMs(Now_) + StartWindow.count();
-    Row->noteOrder(Item->Start_.DeadlineMs_, Now_, Lease);
-    Holder->Tracker_.startSent(Run, Item->Start_.DeadlineMs_);
-    send(Holder, Row, std::move(Item));
+    Row->recordOrder(Item->Start_.DeadlineMs_, Now_, Lease);
+    Leader->Tracker_.startSent(Run, Item->Start_.DeadlineMs_);
+    send(Leader, Row, std::move(Item));
   }
 
-  void send(const HolderPtr &Holder, const WorkerRowPtr &Row, MessagePtr Item) {
-    Item->From_ = Holder;
+  void send(const LeaderPtr &Leader, const WorkerRowPtr &Row, MessagePtr Item) {
+    Item->From_ = Leader;
     Item->To_ = Row->Record_.Life_.Id_ == Workers_[0].Id_ ? 0 : 1;
     Item->Row_ = Row;
     Item->Born_ = Row->Record_.Life_.BornMs_;
@@ -369,87 +369,87 @@
   }
 
   void holdSomething(int Detail) {
-    const HolderPtr Holder = someHolder(Detail);
-    if (Holder->mayOrder(Now_))
-      sendHold(Holder, pick(Detail / 2, WorkerCount));
+    const LeaderPtr Leader = someLeader(Detail);
+    if (Leader->maySendOrders(Now_))
+      sendHold(Leader, pick(Detail / 2, WorkerCount));
   }
 
-  void sendHold(const HolderPtr &Holder, std::size_t I) {
-    WorkerRowPtr &Row = Holder->Rows_[I];
-    if (Row && Row->Over_)
+  void sendHold(const LeaderPtr &Leader, std::size_t I) {
+    WorkerRowPtr &Row = Leader->Rows_[I];
+    if (Row && Row->Ended_)
       Row = nullptr;
     if (!Row)
       return;
     auto Item = std::make_shared<Message>();
     Item->Kind_ = Message::Kind::Hold;
-    Item->Hold_ = Row->nextHold(Now_, Holder->Token_, Lease, 0ms);
-    send(Holder, Row, std::move(Item));
+    Item->Hold_ = Row->nextRenewal(Now_, Leader->Token_, Lease, 0ms);
+    send(Leader, Row, std::move(Item));
   }
 
   /// A run is to be stopped though its job goes on, as when its worker drains.
   void stopSomething(int Detail) {
-    const HolderPtr Holder = someHolder(Detail);
-    const WorkerRowPtr Row = Holder->Rows_[pick(Detail, WorkerCount)];
-    if (!Row || !Holder->mayOrder(Now_))
+    const LeaderPtr Leader = someLeader(Detail);
+    const WorkerRowPtr Row = Leader->Rows_[pick(Detail, WorkerCount)];
+    if (!Row || !Leader->maySendOrders(Now_))
       return;
-    if (const auto *Use = Holder->Table_.useOf(Row->Record_.Life_))
-      stop(Holder, *Use->Runs_.begin());
+    if (const auto *Use = Leader->Table_.useOf(Row->Record_.Life_))
+      stop(Leader, *Use->Runs_.begin());
   }
 
   void cancelSomething(int Detail) {
-    const HolderPtr Holder = someHolder(Detail);
-    const auto &Open = Holder->Table_.open();
-    if (!Holder->Active_ || Open.empty())
+    const LeaderPtr Leader = someLeader(Detail);
+    const auto &Open = Leader->Table_.open();
+    if (!Leader->Active_ || Open.empty())
       return;
     const std::size_t Which = pick(Detail, Open.size());
     const JobId Id =
         std::next(Open.begin(), static_cast<std::ptrdiff_t>(Which))->second;
-    if (!commit(*Holder, {jobs::JobCancelled{Id}}))
+    if (!commit(*Leader, {jobs::JobCancelled{Id}}))
       return;
     // The store's answer is lost: the holder ends and has stopped nothing.
     if (Detail % 5 == 0)
-      Holder->Active_ = false;
-    stopJob(Holder, Id);
+      Leader->Active_ = false;
+    stopJob(Leader, Id);
   }
 
-  void stopJob(const HolderPtr &Holder, const JobId &Id) {
+  void stopJob(const LeaderPtr &Leader, const JobId &Id) {
     std::vector<RunName> Runs;
-    for (const auto &[Life, Use] : Holder->Table_.workers())
+    for (const auto &[Life, Use] : Leader->Table_.workers())
       for (const RunName &Run : Use.Runs_)
         if (Run.Task_.Job_ == Id)
           Runs.push_back(Run);
     for (const RunName &Run : Runs)
-      stop(Holder, Run);
+      stop(Leader, Run);
   }
 
   /// Orders a stop; without the worker it is left to its reports.
-  void stop(const HolderPtr &Holder, const RunName &Run) {
-    jobs::LiveRun *Live = Holder->Table_.findLive(Run);
+  void stop(const LeaderPtr &Leader, const RunName &Run) {
+    jobs::LiveRun *Live = Leader->Table_.findLive(Run);
     if (!Live)
       return;
     Live->Stopping_ = true;
-    for (const WorkerRowPtr &Row : Holder->Rows_)
+    for (const WorkerRowPtr &Row : Leader->Rows_)
       if (Row && Row->Record_.Life_ == Live->On_)
-        sendStopOnce(Holder, Row, Run);
+        sendStopOnce(Leader, Row, Run);
   }
 
-  void sendStopOnce(const HolderPtr &Holder, const WorkerRowPtr &Row,
+  void sendStopOnce(const LeaderPtr &Leader, const WorkerRowPtr &Row,
                     const RunName &Run) {
-    if (!Holder->StopsOnWay_.contains(Run))
-      sendStop(Holder, Row, Run, Message::Kind::Stop);
+    if (!Leader->StopsInFlight_.contains(Run))
+      sendStop(Leader, Row, Run, Message::Kind::Stop);
   }
 
-  void sendStop(const HolderPtr &Holder, const WorkerRowPtr &Row,
+  void sendStop(const LeaderPtr &Leader, const WorkerRowPtr &Row,
                 const RunName &Run, Message::Kind Kind) {
-    if (!Holder->mayOrder(Now_))
+    if (!Leader->maySendOrders(Now_))
       return;
     auto Item = std::make_shared<Message>();
     Item->Kind_ = Kind;
     Item->Start_.Run_ = Run;
-    Item->Start_.Token_ = Holder->Token_;
+    Item->Start_.Token_ = Leader->Token_;
     if (Kind == Message::Kind::Stop)
-      Holder->StopsOnWay_.insert(Run);
-    send(Holder, Row, std::move(Item));
+      Leader->StopsInFlight_.insert(Run);
+    send(Leader, Row, std::move(Item));
   }
 
   void finishSomething(int Detail) {
@@ -466,20 +466,20 @@
     const ModelWorker &Worker = Workers_[Item.To_];
     return Item.Born_ == Worker.BornMs_ ||
            (Item.SentAt_ > Worker.BornAt_ &&
-            Now_ - Item.SentAt_ <= OrderTransit);
+            Now_ - Item.SentAt_ <= MaxStaleOrderDelay);
   }
 
-  void carryOut(int Detail) {
+  void execute(int Detail) {
     std::vector<MessagePtr> Waiting;
     for (const MessagePtr &Item : Messages_)
-      if (!Item->CarriedOut_ && arrives(*Item))
+      if (!Item->Executed_ && arrives(*Item))
         Waiting.push_back(Item);
     if (!Waiting.empty())
-      carryOut(*Waiting[pick(Detail, Waiting.size())]);
+      execute(*Waiting[pick(Detail, Waiting.size())]);
   }
 
-  void carryOut(Message &Item) {
-    Item.CarriedOut_ = true;
+  void execute(Message &Item) {
+    Item.Executed_ = true;
     ModelWorker &Worker = Workers_[Item.To_];
     if (Item.Kind_ == Message::Kind::Hold) {
       Item.Report_ = Worker.hold(Item.Hold_, Item.Born_, Now_);
@@ -511,36 +511,36 @@
             !(End->Run_.Task_ == Run.Task_ && End->Kind_ == EndKind::Done));
   }
 
-  MessagePtr openMessage(int Detail, bool CarriedOut) {
+  MessagePtr openMessage(int Detail, bool Executed) {
     std::vector<MessagePtr> Open;
     for (const MessagePtr &Item : Messages_)
-      if (!Item->Abandoned_ && (Item->CarriedOut_ || !CarriedOut))
+      if (!Item->Abandoned_ && (Item->Executed_ || !Executed))
         Open.push_back(Item);
     return Open.empty() ? nullptr : Open[pick(Detail, Open.size())];
   }
 
-  void bringAnswer(int Detail) {
+  void deliverAnswer(int Detail) {
     if (const MessagePtr Item = openMessage(Detail, true))
-      bringAnswer(Item);
+      deliverAnswer(Item);
   }
 
-  void bringAnswer(const MessagePtr &Item) {
+  void deliverAnswer(const MessagePtr &Item) {
     Item->Abandoned_ = true;
-    ModelHolder &Holder = *Item->From_;
+    ModelLeader &Leader = *Item->From_;
     WorkerRow &Row = *Item->Row_;
-    if (!Holder.Active_)
+    if (!Leader.Active_)
       return;
     if (isStop(*Item))
-      return takeStopAnswer(*Item);
+      return handleStopAnswer(*Item);
     if (Item->Kind_ == Message::Kind::Hold)
-      return takeReport(*Item);
-    Row.heardClock(Item->Reply_.ClockMs_, Now_);
-    const auto Ended = Holder.Tracker_.startAnswered(
+      return handleReport(*Item);
+    Row.updateClock(Item->Reply_.ClockMs_, Now_);
+    const auto Ended = Leader.Tracker_.startAnswered(
         Item->Start_.Run_, Item->Reply_.Result_, Item->Attempt_, Now_);
     if (Ended)
       endRuns(Item->From_, {*Ended});
     else
-      Holder.Tracker_.startFinished(Item->Start_.Run_);
+      Leader.Tracker_.noMoreStarts(Item->Start_.Run_);
   }
 
   static bool isStop(const Message &Item) {
@@ -548,84 +548,86 @@
            Item.Kind_ != Message::Kind::Start;
   }
 
-  void takeStopAnswer(const Message &Item) {
-    ModelHolder &Holder = *Item.From_;
-    noteStopSettled(Item);
+  void handleStopAnswer(const Message &Item) {
+    ModelLeader &Leader = *Item.From_;
+    clearStopInFlight(Item);
     if (Item.Reply_.Result_ != OrderResult::Done)
       return;
-    if (Item.Kind_ == Message::Kind::StopLater)
-      Holder.Tracker_.stopAnsweredLater(Item.Start_.Run_, Now_);
+    if (Item.Kind_ == Message::Kind::StopStaleStart)
+      Leader.Tracker_.stopAnsweredByLaterLife(Item.Start_.Run_, Now_);
     if (Item.Kind_ == Message::Kind::Stop)
-      Holder.Tracker_.stopAnswered(Item.Start_.Run_, Now_);
+      Leader.Tracker_.stopAnswered(Item.Start_.Run_, Now_);
   }
 
-  static void noteStopSettled(const Message &Item) {
+  static void clearStopInFlight(const Message &Item) {
     if (Item.Kind_ == Message::Kind::Stop)
-      Item.From_->StopsOnWay_.erase(Item.Start_.Run_);
+      Item.From_->StopsInFlight_.erase(Item.Start_.Run_);
   }
 
-  void takeReport(const Message &Item) {
-    const HolderPtr &From = Item.From_;
-    ModelHolder &Holder = *From;
+  void handleReport(const Message &Item) {
+    const LeaderPtr &From = Item.From_;
+    ModelLeader &Leader = *From;
     WorkerRow &Row = *Item.Row_;
     const HoldReply &Reply = Item.Report_;
     if (Reply.Result_ == OrderResult::OtherLife) {
-      lifeOver(Holder, Row);
+      endLife(Leader, Row);
       return;
     }
     if (Reply.Result_ != OrderResult::Done)
       return;
-    Row.heardClock(Reply.ClockMs_, Now_);
+    Row.updateClock(Reply.ClockMs_, Now_);
     Row.Unanswered_ = 0;
-    Row.EndsTold_ = std::max(Row.EndsTold_, Item.Hold_.LastSeen_);
+    Row.EndsAcknowledged_ =
+        std::max(Row.EndsAcknowledged_, Item.Hold_.AcknowledgedEnds_);
     if (!Row.Synced_)
-      Row.noteSynced(Now_, Lease);
-    const auto Report = Holder.Tracker_.report(Row.Record_.Life_, Reply,
-                                               Item.SentAt_, Row.EndsStaged_);
+      Row.markSynced(Now_, Lease);
+    const auto Report = Leader.Tracker_.processReport(
+        Row.Record_.Life_, Reply, Item.SentAt_, Row.EndsStaged_);
     if (!endRuns(From, Report.Ended_))
       return;
     for (const RunName &Run : Report.Unknown_)
       sendStop(From, Item.Row_, Run, Message::Kind::StopUnknown);
-    for (const RunName &Run : Report.Haunting_)
-      sendStop(From, Item.Row_, Run, Message::Kind::StopLater);
+    for (const RunName &Run : Report.StaleStarts_)
+      sendStop(From, Item.Row_, Run, Message::Kind::StopStaleStart);
     for (const RunName &Run :
-         Holder.Tracker_.unwanted(Row.Record_.Life_, Item.SentAt_))
+         Leader.Tracker_.unwanted(Row.Record_.Life_, Item.SentAt_))
       sendStopOnce(From, Item.Row_, Run);
-    Row.Haunted_ = Holder.Tracker_.haunted(Row.Record_.Life_);
-    for (const EndRow &End : Reply.Ends_)
+    Row.MayRunStaleStarts_ =
+        Leader.Tracker_.mayRunStaleStarts(Row.Record_.Life_);
+    for (const EndReport &End : Reply.Ends_)
       Row.EndsStaged_ = std::max(Row.EndsStaged_, End.Number_);
     Row.EndsStored_ = Row.EndsStaged_;
   }
 
-  bool endRuns(const HolderPtr &From,
-               const std::vector<RunTracker::Ended> &Ended) {
-    ModelHolder &Holder = *From;
+  bool endRuns(const LeaderPtr &From,
+               const std::vector<RunTracker::EndedRun> &Ended) {
+    ModelLeader &Leader = *From;
     std::vector<Event> Events;
-    for (const RunTracker::Ended &Item : Ended) {
+    for (const RunTracker::EndedRun &Item : Ended) {
       jobs::RunEnded End;
       End.Run_ = Item.Run_;
       End.Kind_ = Item.Kind_;
       Events.push_back(End);
     }
-    if (!Events.empty() && !commit(Holder, Events))
+    if (!Events.empty() && !commit(Leader, Events))
       return false;
-    for (const RunTracker::Ended &Item : Ended)
-      Holder.Tracker_.forget(Item.Run_);
+    for (const RunTracker::EndedRun &Item : Ended)
+      Leader.Tracker_.forget(Item.Run_);
     // A job that has failed for good has no use for its other tasks.
-    for (const RunTracker::Ended &Item : Ended)
-      if (Holder.Table_.find(Item.Run_.Task_.Job_)->ended())
+    for (const RunTracker::EndedRun &Item : Ended)
+      if (Leader.Table_.find(Item.Run_.Task_.Job_)->ended())
         stopJob(From, Item.Run_.Task_.Job_);
     return true;
   }
 
-  void loseRuns(const HolderPtr &Holder, const WorkerLife &Life) {
-    const jobs::WorkerUse *Use = Holder->Table_.useOf(Life);
+  void loseRuns(const LeaderPtr &Leader, const WorkerLife &Life) {
+    const jobs::WorkerUse *Use = Leader->Table_.useOf(Life);
     if (!Use)
       return;
-    std::vector<RunTracker::Ended> Ended;
+    std::vector<RunTracker::EndedRun> Ended;
     for (const RunName &Run : Use->Runs_)
       Ended.push_back({Run, EndKind::Lost, jobs::Checkpoint(), ""});
-    endRuns(Holder, Ended);
+    endRuns(Leader, Ended);
   }
 
   void loseAnswer(int Detail) {
@@ -633,52 +635,53 @@
     if (!Item || Now_ - Item->SentAt_ < AnswerWait)
       return;
     // Half of what was not carried out never will be.
-    Item->CarriedOut_ = Item->CarriedOut_ || Detail % 2 == 0;
+    Item->Executed_ = Item->Executed_ || Detail % 2 == 0;
     loseAnswer(Item);
   }
 
   void loseAnswer(const MessagePtr &Item) {
     Item->Abandoned_ = true;
-    ModelHolder &Holder = *Item->From_;
+    ModelLeader &Leader = *Item->From_;
     WorkerRow &Row = *Item->Row_;
-    noteStopSettled(*Item);
-    if (!Holder.Active_ || isStop(*Item))
+    clearStopInFlight(*Item);
+    if (!Leader.Active_ || isStop(*Item))
       return;
     if (Item->Kind_ == Message::Kind::Hold) {
       ++Row.Unanswered_;
-      if (Row.surelyLapsed(Now_, inheritedLeaseEnds(Holder.BegunAt_, Lease)))
+      if (Row.leaseExpired(Now_,
+                           inheritedLeaseExpiry(Leader.StartedAt_, Lease)))
         loseRuns(Item->From_, Row.Record_.Life_);
       return;
     }
     // Attempts follow each other within the window of the start.
     if (Item->Attempt_ + 1 >= StartAttempts ||
         Now_ - Item->SentAt_ > StartWindow ||
-        !Holder.Table_.find(Item->Start_.Run_))
-      return Holder.Tracker_.startFinished(Item->Start_.Run_);
+        !Leader.Table_.find(Item->Start_.Run_))
+      return Leader.Tracker_.noMoreStarts(Item->Start_.Run_);
     auto Again = std::make_shared<Message>(*Item);
-    Again->CarriedOut_ = false;
+    Again->Executed_ = false;
     Again->Abandoned_ = false;
     ++Again->Attempt_;
     Again->SentAt_ = Now_;
-    Holder.Tracker_.startSent(Again->Start_.Run_, Again->Start_.DeadlineMs_);
+    Leader.Tracker_.startSent(Again->Start_.Run_, Again->Start_.DeadlineMs_);
     Messages_.push_back(std::move(Again));
   }
 
   void quietTick(int Tick, int Detail) {
     Now_ += QuietTick;
-    const HolderPtr Holder = Holders_.back();
-    Holder->ConfirmedAt_ = Now_;
+    const LeaderPtr Leader = Leaders_.back();
+    Leader->ConfirmedAt_ = Now_;
     for (std::size_t I = 0; I < WorkerCount; ++I)
-      if (Tick >= (Detail << I) % MostTicksToList)
-        list(*Holder, I, Workers_[I].BornMs_);
-    bringMessagesOn();
+      if (Tick >= (Detail << I) % MaxTicksToList)
+        list(*Leader, I, Workers_[I].BornMs_);
+    deliverMessages();
     for (std::size_t I = 0; I < WorkerCount; ++I)
-      if (const WorkerRowPtr Row = Holder->Rows_[I];
-          Row && needsHold(*Holder, *Row) && !holdOnWay(*Row))
-        sendHold(Holder, I);
+      if (const WorkerRowPtr Row = Leader->Rows_[I];
+          Row && needsHold(*Leader, *Row) && !holdInFlight(*Row))
+        sendHold(Leader, I);
   }
 
-  bool holdOnWay(const WorkerRow &Row) const {
+  bool holdInFlight(const WorkerRow &Row) const {
     return std::any_of(Messages_.begin(), Messages_.end(),
                        [&](const MessagePtr &Item) {
                          return Item->Kind_ == Message::Kind::Hold &&
@@ -686,33 +689,33 @@
                        });
   }
 
-  void bringLastThrough() {
+  void deliverLast() {
     if (Messages_.empty() || !arrives(*Messages_.back()))
       return;
     const MessagePtr Item = Messages_.back();
-    if (!Item->CarriedOut_)
-      carryOut(*Item);
+    if (!Item->Executed_)
+      execute(*Item);
     if (!Item->Abandoned_)
-      bringAnswer(Item);
+      deliverAnswer(Item);
   }
 
-  void bringMessagesOn() {
+  void deliverMessages() {
     const std::vector<MessagePtr> All = Messages_;
     for (const MessagePtr &Item : All) {
-      if (!Item->CarriedOut_ && arrives(*Item))
-        carryOut(*Item);
-      else if (!Item->Abandoned_ && Item->CarriedOut_)
-        bringAnswer(Item);
+      if (!Item->Executed_ && arrives(*Item))
+        execute(*Item);
+      else if (!Item->Abandoned_ && Item->Executed_)
+        deliverAnswer(Item);
       else if (!Item->Abandoned_ && Now_ - Item->SentAt_ >= AnswerWait)
         loseAnswer(Item);
     }
     std::erase_if(Messages_, [](const MessagePtr &Item) {
-      return Item->CarriedOut_ && Item->Abandoned_;
+      return Item->Executed_ && Item->Abandoned_;
     });
   }
 
   std::uint64_t runsOfEndedJobs() {
-    const jobs::CellTable &Table = Holders_.back()->Table_;
+    const jobs::CellTable &Table = Leaders_.back()->Table_;
     std::uint64_t Count = 0;
     for (ModelWorker &Worker : Workers_) {
       Worker.lapse(Now_);
@@ -726,10 +729,10 @@
   std::uint64_t Revision_ = 0;
   Journal Journal_;
   std::array<ModelWorker, WorkerCount> Workers_;
-  std::vector<HolderPtr> Holders_;
+  std::vector<LeaderPtr> Leaders_;
   std::vector<MessagePtr> Messages_;
   std::uint64_t Starts_ = 0;
-  std::uint64_t Leftovers_ = 0;
+  std::uint64_t RunsToStop_ = 0;
 };
 
 } // namespace laburnumspread::cell::model
--- a/src/cell/tests/runmodeltest.cpp
+++ b/src/cell/tests/runmodeltest.cpp
@@ -28,7 +28,7 @@
 
 BOOST_AUTO_TEST_CASE(NoTaskRunsTwiceAndNoneRunsOnWhateverTheOrderOfThings) {
   std::uint64_t Starts = 0;
-  std::uint64_t Leftovers = 0;
+  std::uint64_t RunsToStop = 0;
   const auto Property = [&] {
     Model World;
     const Schedule Steps = *anySchedule();
@@ -36,13 +36,13 @@
       World.step(Choice, Detail);
     World.settle(*anyDetail());
     Starts += World.starts();
-    Leftovers += World.leftovers();
+    RunsToStop += World.runsToStop();
   };
   BOOST_TEST(rc::check("one place at a time, and an end", Property));
   // The adversary must leave room for work, and leave work over, or the check
   // says nothing.
   BOOST_TEST(Starts > 1000u);
-  BOOST_TEST(Leftovers > 100u);
+  BOOST_TEST(RunsToStop > 100u);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/cell/tests/runtrackertest.cpp
+++ b/src/cell/tests/runtrackertest.cpp
@@ -42,9 +42,9 @@
   }
 
   /// By a report that answers a hold sent at \p SentAt.
-  std::vector<RunName> unwanted(const WorkerLife &Worker,
-                                TimePoint SentAt = Now +
-                                                   RunTracker::StopTime) const {
+  std::vector<RunName>
+  unwanted(const WorkerLife &Worker,
+           TimePoint SentAt = Now + RunTracker::MaxStopDuration) const {
     return Tracker_.unwanted(Worker, SentAt);
   }
 
@@ -56,7 +56,8 @@
     for (int Holds = 0; Holds < 10; ++Holds) {
       HoldReply Reply;
       Reply.Result_ = OrderResult::Done;
-      for (const auto &Item : Tracker_.report(Here, Reply, Sent, 0).Ended_)
+      for (const auto &Item :
+           Tracker_.processReport(Here, Reply, Sent, 0).Ended_)
         if (Item.Run_ == Run)
           return true;
       Sent += std::chrono::milliseconds(800);
@@ -128,10 +129,11 @@
   BOOST_TEST((unwanted(Here, Now) == std::vector{Run}));
   Tracker_.stopAnswered(Run, Now);
   BOOST_TEST(unwanted(Here, Now).empty());
+  BOOST_TEST(unwanted(Here, Now + RunTracker::MaxStopDuration -
+                                std::chrono::milliseconds(1))
+                 .empty());
   BOOST_TEST(
-      unwanted(Here, Now + RunTracker::StopTime - std::chrono::milliseconds(1))
-          .empty());
-  BOOST_TEST((unwanted(Here, Now + RunTracker::StopTime) == std::vector{Run}));
+      (unwanted(Here, Now + RunTracker::MaxStopDuration) == std::vector{Run}));
 }
 
 // A worker's process started again with a start on its way, and the worker went
@@ -140,10 +142,10 @@
 // last answer counted, so no hold was ever sent after it.
 BOOST_AUTO_TEST_CASE(ARunOfAFormerLifeIsOverThoughAStopFollowsEachReport) {
   const RunName Run = begin("kept", 0, Former);
-  Tracker_.staged(Run);
+  Tracker_.runStaged(Run);
   Tracker_.startSent(Run, 1000);
-  BOOST_TEST(
-      isOver(Run, [&](TimePoint At) { Tracker_.stopAnsweredLater(Run, At); }));
+  BOOST_TEST(isOver(
+      Run, [&](TimePoint At) { Tracker_.stopAnsweredByLaterLife(Run, At); }));
 }
 
 // The same on the life that the run was meant for, once each report asks for
@@ -151,7 +153,7 @@
 BOOST_AUTO_TEST_CASE(AnUnwantedRunIsOverThoughAStopFollowsEachReport) {
   const RunName Run = begin("gone", 0, Here);
   cancel("gone");
-  Tracker_.staged(Run);
+  Tracker_.runStaged(Run);
   BOOST_TEST(
       isOver(Run, [&](TimePoint At) { Tracker_.stopAnswered(Run, At); }));
 }
--- a/src/cell/tests/workertabletest.cpp
+++ b/src/cell/tests/workertabletest.cpp
@@ -16,7 +16,7 @@
 WorkerRow syncedRow() {
   WorkerRow Row;
   Row.Synced_ = true;
-  Row.heardClock(1000, Start);
+  Row.updateClock(1000, Start);
   return Row;
 }
 
@@ -26,18 +26,18 @@
 
 BOOST_AUTO_TEST_CASE(FirstHoldOnlyLooks) {
   WorkerRow Row;
-  const HoldOrder Order = Row.nextHold(Start, Token, Lease, Wait);
+  const HoldOrder Order = Row.nextRenewal(Start, Token, Lease, Wait);
   BOOST_TEST(Order.DeadlineMs_ == 0);
-  BOOST_TEST((Row.LeaseEnds_ == TimePoint()));
+  BOOST_TEST((Row.LeaseExpiry_ == TimePoint()));
 }
 
 BOOST_AUTO_TEST_CASE(HoldAsksForAWholeLeaseOnTheWorkersClock) {
   WorkerRow Row = syncedRow();
-  const HoldOrder Order = Row.nextHold(Start + 500ms, Token, Lease, Wait);
+  const HoldOrder Order = Row.nextRenewal(Start + 500ms, Token, Lease, Wait);
   BOOST_TEST(Order.DeadlineMs_ == 1000 + 500 + 6000);
   // The worker's clock may be two in a hundred slow.
-  BOOST_TEST((Row.LeaseEnds_ > Start + 6500ms));
-  BOOST_TEST((Row.LeaseEnds_ < Start + 7700ms));
+  BOOST_TEST((Row.LeaseExpiry_ > Start + 6500ms));
+  BOOST_TEST((Row.LeaseExpiry_ < Start + 7700ms));
 }
 
 // A caller's standing task is never restarted: its worker leaves for good, the
@@ -45,14 +45,15 @@
 // The runs there then never count as lapsed, and no other worker gets them.
 BOOST_AUTO_TEST_CASE(UnansweredHoldsDoNotPutOffTheEndOfTheLease) {
   WorkerRow Row = syncedRow();
-  Row.nextHold(Start, Token, Lease, Wait);
-  const TimePoint Ends = Row.LeaseEnds_;
+  Row.nextRenewal(Start, Token, Lease, Wait);
+  const TimePoint Ends = Row.LeaseExpiry_;
   for (int I = 1; I < 20; ++I) {
     Row.Unanswered_ = static_cast<std::uint32_t>(I);
-    const HoldOrder Again = Row.nextHold(Start + I * 700ms, Token, Lease, Wait);
+    const HoldOrder Again =
+        Row.nextRenewal(Start + I * 700ms, Token, Lease, Wait);
     BOOST_TEST(Again.DeadlineMs_ == 0);
   }
-  BOOST_TEST((Row.LeaseEnds_ == Ends));
+  BOOST_TEST((Row.LeaseExpiry_ == Ends));
 }
 
 // Callers wait for workers that are well: orders are carried out late now and
@@ -60,16 +61,16 @@
 BOOST_AUTO_TEST_CASE(OneLostAnswerLeavesAWorkerInUse) {
   WorkerRow Row = syncedRow();
   Row.Unanswered_ = 1;
-  BOOST_TEST(Row.usable());
+  BOOST_TEST(Row.acceptsTasks());
   Row.Unanswered_ = 2;
-  BOOST_TEST(!Row.usable());
+  BOOST_TEST(!Row.acceptsTasks());
 }
 
 // Answers on two connections overtake each other: the older clock must not
 // set the newer one back, or a lease would seem to end too early.
 BOOST_AUTO_TEST_CASE(OlderClockIsPassedOver) {
   WorkerRow Row = syncedRow();
-  Row.heardClock(900, Start + 10ms);
+  Row.updateClock(900, Start + 10ms);
   BOOST_TEST(Row.ClockMs_ == 1000);
   BOOST_TEST(Row.clockMs(Start + 50ms) == 1050);
 }
@@ -96,11 +97,11 @@
 BOOST_AUTO_TEST_CASE(DoubtedWorkerIsGivenNothingUntilItAnswers) {
   WorkerRow Row;
   Row.Synced_ = true;
-  BOOST_TEST(Row.usable());
-  Row.doubt();
-  BOOST_TEST(!Row.usable());
+  BOOST_TEST(Row.acceptsTasks());
+  Row.suspect();
+  BOOST_TEST(!Row.acceptsTasks());
   Row.Unanswered_ = 0;
-  BOOST_TEST(Row.usable());
+  BOOST_TEST(Row.acceptsTasks());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/cell/directory.h
+++ b/src/cell/workerfollower.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "cell/machines.h"
+#include "cell/machinemanager.h"
 
 namespace laburnumspread::cell {
 
@@ -15,42 +15,43 @@
 /// each worker that comes up, and ends the life that a newer one replaces.
 template <store::KeyValueStore Store, WorkerClient Client,
           MachineService Service>
-class Directory {
+class WorkerFollower {
 public:
   using TermPtr = std::shared_ptr<Term<Store>>;
-  using SessionsPtr = std::shared_ptr<Sessions<Store, Client>>;
-  using MachinesPtr = std::shared_ptr<Machines<Store, Client, Service>>;
+  using SessionsPtr = std::shared_ptr<WorkerSessions<Store, Client>>;
+  using MachinesPtr = std::shared_ptr<MachineManager<Store, Client, Service>>;
 
   static constexpr Duration RetryPause = std::chrono::milliseconds(100);
-  static constexpr Duration ListTime = std::chrono::milliseconds(1500);
+  static constexpr Duration ListTimeout = std::chrono::milliseconds(1500);
 
-  Directory(Store &S, WorkerDirectory Where, TermPtr T, SessionsPtr Talks,
-            MachinesPtr M)
+  WorkerFollower(Store &S, WorkerDirectory Where, TermPtr T,
+                 SessionsPtr Sessions, MachinesPtr M)
       : Store_(S), Directory_(std::move(Where)), Term_(std::move(T)),
-        Sessions_(std::move(Talks)), Machines_(std::move(M)) {}
+        Sessions_(std::move(Sessions)), Machines_(std::move(M)) {}
 
   /// Reads and watches the list until the term is over.
   void follow() {
     const TermPtr T = Term_;
-    while (!T->over()) {
-      const auto Read = Store_.range(Directory_.Prefix_, fleet::Revision(0),
-                                     framework::clock::wallDeadline(ListTime));
-      if (T->over())
+    while (!T->ended()) {
+      const auto Read =
+          Store_.range(Directory_.Prefix_, fleet::Revision(0),
+                       framework::clock::wallDeadline(ListTimeout));
+      if (T->ended())
         return;
       if (!Read.ok()) {
         framework::fibers::sleepFor(RetryPause);
         continue;
       }
-      replaceDirectory(*T, Read->Items_);
+      applyFullList(*T, Read->Items_);
       const absl::Status Ended =
           Store_.watch(Directory_.Prefix_, Read->StoreRevision_.next(),
                        [&](const store::WatchBatch &Batch) {
-                         if (T->over())
+                         if (T->ended())
                            return false;
                          for (const store::KeyValue &Item : Batch.Puts_)
-                           noteWorker(*T, Item);
+                           recordWorker(*T, Item);
                          for (const std::string &Key : Batch.Deletes_)
-                           unlist(*T, Key);
+                           markUnlisted(*T, Key);
                          return true;
                        });
       if (!Ended.ok())
@@ -61,19 +62,19 @@
 private:
   static TimePoint now() { return Term<Store>::now(); }
 
-  void replaceDirectory(Term<Store> &T,
-                        const std::vector<store::KeyValue> &Items) {
+  void applyFullList(Term<Store> &T,
+                     const std::vector<store::KeyValue> &Items) {
     std::set<WorkerLife> Listed;
     for (const store::KeyValue &Item : Items)
-      if (const auto Life = noteWorker(T, Item))
+      if (const auto Life = recordWorker(T, Item))
         Listed.insert(*Life);
     for (const auto &[Life, Row] : T.Workers_)
       if (!Listed.contains(Life))
         Row->Listed_ = false;
   }
 
-  std::optional<WorkerLife> noteWorker(Term<Store> &T,
-                                       const store::KeyValue &Item) {
+  std::optional<WorkerLife> recordWorker(Term<Store> &T,
+                                         const store::KeyValue &Item) {
     const auto Record = Directory_.Read_(Item);
     if (!Record || T.EndedLives_.contains(Record->Life_))
       return std::nullopt;
@@ -88,7 +89,7 @@
     } else {
       addWorker(T, *Record);
     }
-    Machines_->noteWorker(*Record);
+    Machines_->recordWorker(*Record);
     T.Commits_.wake();
     return Record->Life_;
   }
@@ -114,11 +115,11 @@
         .field("pool", Record.Pool_.str());
     Sessions_->open(Row);
     for (const WorkerRowPtr &Old : Over)
-      Sessions_->lifeOver(*Old, "a newer life is listed",
-                          Old->Record_.Life_.Id_ == Record.Life_.Id_);
+      Sessions_->endLife(*Old, "a newer life is listed",
+                         Old->Record_.Life_.Id_ == Record.Life_.Id_);
   }
 
-  void unlist(Term<Store> &T, const std::string &Key) {
+  void markUnlisted(Term<Store> &T, const std::string &Key) {
     const std::string Id = Key.substr(Directory_.Prefix_.size());
     for (const auto &[Life, Row] : T.Workers_)
       if (Life.Id_.str() == Id) {
--- a/src/cell/sessions.h
+++ b/src/cell/workersessions.h
@@ -1,18 +1,19 @@
 #pragma once
 
-#include "cell/fillerpace.h"
-#include "cell/runstops.h"
+#include "cell/fillerpacecontroller.h"
+#include "cell/runstopper.h"
 #include "cell/term.h"
 #include "scheduling/scheduler.h"
 
 namespace laburnumspread::cell {
 
-/// Talks to the workers of one term: keeps the leases of what runs, starts and
-/// stops tasks, and turns what workers say into events. RunTracker decides
+/// Sessions to the workers of one term: keeps the leases of what runs, starts
+/// and stops tasks, and turns what workers say into events. RunTracker decides
 /// which runs are over; here is also the last resort, a lease that has run out
 /// unseen.
 template <store::KeyValueStore Store, WorkerClient Client>
-class Sessions : public std::enable_shared_from_this<Sessions<Store, Client>> {
+class WorkerSessions
+    : public std::enable_shared_from_this<WorkerSessions<Store, Client>> {
 public:
   using TermPtr = std::shared_ptr<Term<Store>>;
 
@@ -27,23 +28,24 @@
   static constexpr Duration RetryPause = OrderRetryPause;
   /// A start that arrives later than this after it was sent does nothing.
   static constexpr Duration StartWindow = std::chrono::milliseconds(1500);
-  static constexpr Duration IdleCheck = std::chrono::milliseconds(500);
+  static constexpr Duration IdleCheckInterval = std::chrono::milliseconds(500);
   /// As many as fit into the window.
   static constexpr int StartAttempts = 6;
-  static constexpr double DistrustOfFailure = 1;
+  static constexpr double DistrustPerFailure = 1;
   /// In the log, of a worker that has not answered this holder yet.
   static constexpr std::int64_t NeverAnswered = -1;
 
-  Sessions(TermPtr T, Client &C)
+  WorkerSessions(TermPtr T, Client &C)
       : Term_(std::move(T)), Client_(C),
         Tracker_(std::make_shared<RunTracker>(Term_->Table_)),
-        Stops_(std::make_shared<RunStops<Store, Client>>(Term_, C, Tracker_)),
+        Stopper_(
+            std::make_shared<RunStopper<Store, Client>>(Term_, C, Tracker_)),
         Fillers_(Term_, Client_) {}
 
   /// Starts the session of a worker that has just come up.
   void open(const WorkerRowPtr &Row) {
     framework::fibers::spawn(
-        [Self = this->shared_from_this(), Row] { Self->session(Row); });
+        [Self = this->shared_from_this(), Row] { Self->runSession(Row); });
   }
 
   /// Sends the start of a run whose intent has been stored.
@@ -55,21 +57,21 @@
   /// Stops a run and makes sure that it cannot begin any more. The stop leaves
   /// at once if it can; if not, or if it is not carried out, the worker's
   /// reports call for it.
-  void stop(const jobs::RunName &Run) { Stops_->order(Run); }
+  void stop(const jobs::RunName &Run) { Stopper_->stop(Run); }
 
   /// The worker's life is over, and with it all that ran on it. With \p
   /// SameId its process has started again under its id: what is on its way to
   /// the former life may begin on the new one, which its session settles.
-  void lifeOver(WorkerRow &Row, std::string_view Reason, bool SameId) {
-    if (Row.Over_)
+  void endLife(WorkerRow &Row, std::string_view Reason, bool SameId) {
+    if (Row.Ended_)
       return;
-    Term_->endLife(Row, Reason);
+    Term_->markLifeEnded(Row, Reason);
     if (!SameId)
-      idOver(Row.Record_.Life_.Id_, Reason);
+      endAllLives(Row.Record_.Life_.Id_, Reason);
   }
 
   /// No process answers to the id any more: the runs of all its lives are over.
-  void idOver(const WorkerId &Id, std::string_view Reason) {
+  void endAllLives(const WorkerId &Id, std::string_view Reason) {
     std::vector<WorkerLife> Lives;
     for (const auto &[Life, Use] : Term_->Table_.workers())
       if (Life.Id_ == Id)
@@ -91,9 +93,9 @@
 private:
   static TimePoint now() { return Term<Store>::now(); }
 
-  void session(const WorkerRowPtr &Row) {
-    while (!Term_->over() && !Row->Over_) {
-      if (!Term_->mayOrder()) {
+  void runSession(const WorkerRowPtr &Row) {
+    while (!Term_->ended() && !Row->Ended_) {
+      if (!Term_->maySendOrders()) {
         framework::fibers::sleepFor(RetryPause);
         continue;
       }
@@ -103,7 +105,7 @@
         waitForWake(*Row);
         continue;
       }
-      holdOnce(*Row);
+      sendHold(*Row);
     }
     Client_.forget(Row->Record_);
     const auto Found = Term_->Workers_.find(Row->Record_.Life_);
@@ -112,14 +114,15 @@
   }
 
   bool needsHold(const WorkerRow &Row) const {
-    return !Row.Synced_ || Row.Haunted_ || Row.Strays_ || fellSilent(Row) ||
-           Row.EndsStored_ > Row.EndsTold_ || inUse(Row);
+    return !Row.Synced_ || Row.MayRunStaleStarts_ || Row.HasUnknownRuns_ ||
+           listedButSilent(Row) || Row.EndsStored_ > Row.EndsAcknowledged_ ||
+           inUse(Row);
   }
 
   /// A worker that fell silent is given nothing until it answers, so it is
   /// asked again also when nothing can run there any more: it would stand empty
   /// for good.
-  static bool fellSilent(const WorkerRow &Row) {
+  static bool listedButSilent(const WorkerRow &Row) {
     return Row.Listed_ && Row.Unanswered_ > 0;
   }
 
@@ -129,38 +132,38 @@
 
   void waitForWake(WorkerRow &Row) {
     Row.Wake_ = std::make_shared<framework::fibers::Waiter>();
-    Row.Wake_->waitUntil(framework::clock::wallDeadline(IdleCheck));
+    Row.Wake_->waitUntil(framework::clock::wallDeadline(IdleCheckInterval));
     Row.Wake_ = nullptr;
   }
 
-  void holdOnce(WorkerRow &Row) {
-    const HoldOrder Order = nextOrder(Row);
+  void sendHold(WorkerRow &Row) {
+    const HoldOrder Order = nextHold(Row);
     const TimePoint SentAt = now();
     const HoldReply Reply =
         Client_.hold(Row.Record_, Order, Order.Wait_ + Row.Answers_.wait());
-    Row.noteAnswer(Reply.Result_, SentAt + Order.Wait_, now());
+    Row.recordAnswer(Reply.Result_, SentAt + Order.Wait_, now());
     Term_->Metrics_.counter("holds_total").add();
-    if (Term_->over())
+    if (Term_->ended())
       return;
     if (Reply.Result_ == OrderResult::Done)
-      return takeReport(Row, Reply, Order, SentAt);
+      return handleReport(Row, Reply, Order, SentAt);
     if (Reply.Result_ == OrderResult::OtherLife)
-      return lifeOver(Row, "another life answers", true);
+      return endLife(Row, "another life answers", true);
     if (Reply.Result_ == OrderResult::Fenced && Order.Token_ == Term_->Token_)
       Term_->Superseded_ = true;
-    noAnswer(Row, Reply.Result_);
+    handleNoAnswer(Row, Reply.Result_);
     // The first look follows at once: what ended meanwhile waits for it.
     if (Row.Unanswered_ > 1)
-      framework::fibers::sleepFor(inUse(Row) ? RetryPause : IdleCheck);
+      framework::fibers::sleepFor(inUse(Row) ? RetryPause : IdleCheckInterval);
   }
 
   /// Where only strays are at work the lease is left to run out.
-  HoldOrder nextOrder(WorkerRow &Row) const {
-    if (Row.Strays_ && !inUse(Row))
-      return Row.nextLook(Term_->Token_, BusyHoldWait);
-    const bool Soon = Row.Strays_ || runsFinite(Row);
-    return Row.nextHold(now(), Term_->Token_, Term_->Bounds_.LongestHold_,
-                        Soon ? BusyHoldWait : HoldWait);
+  HoldOrder nextHold(WorkerRow &Row) const {
+    if (Row.HasUnknownRuns_ && !inUse(Row))
+      return Row.nextPoll(Term_->Token_, BusyHoldWait);
+    const bool Soon = Row.HasUnknownRuns_ || runsFinite(Row);
+    return Row.nextRenewal(now(), Term_->Token_, Term_->Bounds_.MaxLease_,
+                           Soon ? BusyHoldWait : HoldWait);
   }
 
   bool runsFinite(const WorkerRow &Row) const {
@@ -173,7 +176,7 @@
                               });
   }
 
-  void noAnswer(WorkerRow &Row, OrderResult Result) {
+  void handleNoAnswer(WorkerRow &Row, OrderResult Result) {
     if (++Row.Unanswered_ == 1)
       framework::log::warning("worker.unanswered")
           .field("worker", Row.Record_.Life_.Id_.str())
@@ -182,45 +185,46 @@
                                            ? NeverAnswered
                                            : Term_->sinceMs(Row.AnsweredAt_));
     Term_->Table_.forgetProgress(Row.Record_.Life_);
-    if (!Row.surelyLapsed(now(), Term_->inheritedLeaseEnds()))
+    if (!Row.leaseExpired(now(), Term_->inheritedLeaseExpiry()))
       return;
-    Row.Strays_ = false;
+    Row.HasUnknownRuns_ = false;
     loseRuns(Row.Record_.Life_, "lease ran out unseen");
   }
 
-  void takeReport(WorkerRow &Row, const HoldReply &Reply,
-                  const HoldOrder &Order, TimePoint SentAt) {
-    Row.heardClock(Reply.ClockMs_, now());
+  void handleReport(WorkerRow &Row, const HoldReply &Reply,
+                    const HoldOrder &Order, TimePoint SentAt) {
+    Row.updateClock(Reply.ClockMs_, now());
     Row.AnsweredAt_ = now();
     if (Row.Unanswered_ > 0)
       framework::log::info("worker.answers_again")
           .field("worker", Row.Record_.Life_.Id_.str())
           .field("unanswered", static_cast<std::uint64_t>(Row.Unanswered_));
     Row.Unanswered_ = 0;
-    Row.EndsTold_ = std::max(Row.EndsTold_, Order.LastSeen_);
-    for (const EndRow &Item : Reply.Ends_)
+    Row.EndsAcknowledged_ =
+        std::max(Row.EndsAcknowledged_, Order.AcknowledgedEnds_);
+    for (const EndReport &Item : Reply.Ends_)
       if (Item.Number_ > Row.EndsStaged_)
-        learn(Row, Item);
-    const RunTracker::Report Report =
-        Tracker_->report(Row.Record_.Life_, Reply, SentAt, Row.EndsStaged_);
-    for (const RunTracker::Ended &Item : Report.Ended_)
+        learnFromEnd(Row, Item);
+    const RunTracker::Report Report = Tracker_->processReport(
+        Row.Record_.Life_, Reply, SentAt, Row.EndsStaged_);
+    for (const RunTracker::EndedRun &Item : Report.Ended_)
       endRun(Item);
-    Stops_->follow(Row, Reply, Report, SentAt);
-    Row.Haunted_ = Tracker_->haunted(Row.Record_.Life_);
-    Row.Strays_ = !Report.Unknown_.empty();
-    Fillers_.take(Row, Reply);
+    Stopper_->handleReport(Row, Reply, Report, SentAt);
+    Row.MayRunStaleStarts_ = Tracker_->mayRunStaleStarts(Row.Record_.Life_);
+    Row.HasUnknownRuns_ = !Report.Unknown_.empty();
+    Fillers_.handleReport(Row, Reply);
     if (!Row.Synced_) {
-      Row.noteSynced(now(), Term_->Bounds_.LongestHold_);
+      Row.markSynced(now(), Term_->Bounds_.MaxLease_);
       Term_->Commits_.wake();
     }
-    noteEnds(Row, Reply);
+    awaitEndsStored(Row, Reply);
   }
 
   /// Waits until the listed ends are stored, so that the next hold can tell the
   /// worker that they are noted.
-  void noteEnds(WorkerRow &Row, const HoldReply &Reply) {
+  void awaitEndsStored(WorkerRow &Row, const HoldReply &Reply) {
     std::uint64_t Last = Row.EndsStaged_;
-    for (const EndRow &Item : Reply.Ends_)
+    for (const EndReport &Item : Reply.Ends_)
       Last = std::max(Last, Item.Number_);
     if (Last == Row.EndsStaged_)
       return;
@@ -237,9 +241,9 @@
 
   /// Learns from an end how far the callers' estimates are off, and how far
   /// the worker is to be trusted.
-  void learn(WorkerRow &Row, const EndRow &Item) {
+  void learnFromEnd(WorkerRow &Row, const EndReport &Item) {
     if (Item.Kind_ == jobs::EndKind::Failed)
-      Row.Distrust_ += DistrustOfFailure;
+      Row.Distrust_ += DistrustPerFailure;
     if (Item.Kind_ != jobs::EndKind::Done)
       return;
     const jobs::JobRow *Job = Term_->Table_.find(Item.Run_.Task_.Job_);
@@ -249,11 +253,11 @@
     if (!Job || !Step || !Live || !Task || Step->LongRunning_ ||
         !Task->Saved_.empty())
       return;
-    Term_->Learned_.note(Job->Spec_.Queue_, Step->Estimate_,
-                         now() - Live->StartedAt_);
+    Term_->Estimates_.note(Job->Spec_.Queue_, Step->Estimate_,
+                           now() - Live->StartedAt_);
   }
 
-  void endRun(const RunTracker::Ended &Item) {
+  void endRun(const RunTracker::EndedRun &Item) {
     const jobs::RunName &Run = Item.Run_;
     const jobs::LiveRun *Live = Term_->Table_.find(Run);
     if (!Live)
@@ -275,15 +279,15 @@
     const bool Open = Job && !Job->ended();
     Term_->Commits_.stage(jobs::RunEnded{Run, Item.Kind_, Item.Saved_, 0});
     if (Open && Job->ended())
-      jobEnded(*Job, Run.Task_);
-    stopEnded(Run.Task_.Job_);
+      logJobEnded(*Job, Run.Task_);
+    stopRunsOfEndedJob(Run.Task_.Job_);
   }
 
   /// Logs a job's end, with the task whose end brought it about.
-  void jobEnded(const jobs::JobRow &Job, const jobs::TaskName &Last) {
+  void logJobEnded(const jobs::JobRow &Job, const jobs::TaskName &Last) {
     const QueueConfig *Queue = Term_->Config_.find(Job.Spec_.Queue_);
     const bool Late =
-        Queue && now() > scheduling::dueAt(Job, *Queue, Term_->Learned_);
+        Queue && now() > scheduling::dueAt(Job, *Queue, Term_->Estimates_);
     const jobs::TaskRow *Task = Term_->Table_.find(Last);
     Term_->Metrics_
         .counter("jobs_ended_total{state=\"" +
@@ -301,7 +305,7 @@
   }
 
   /// A job that has ended has no use for what is still live of it.
-  void stopEnded(const jobs::JobId &Id) {
+  void stopRunsOfEndedJob(const jobs::JobId &Id) {
     const jobs::JobRow *Job = Term_->Table_.find(Id);
     if (!Job || Job->LiveRuns_ == 0 || !Job->ended())
       return;
@@ -327,8 +331,8 @@
   }
 
   /// Notes that the intent of a run has been staged by this holder.
-  void staged(const jobs::RunName &Run) {
-    Tracker_->staged(Run);
+  void runStaged(const jobs::RunName &Run) {
+    Tracker_->runStaged(Run);
     Fillers_.started(Run);
   }
 
@@ -338,10 +342,10 @@
     const auto Worker = Term_->Workers_.find(Item.On_);
     const jobs::JobRow *Job = Term_->Table_.find(Run.Task_.Job_);
     const jobs::LiveRun *Live = Term_->Table_.find(Run);
-    if (Term_->over() || !Live)
+    if (Term_->ended() || !Live)
       return;
-    if (!Job || Job->ended() || Live->Stopping_ || !Term_->mayOrder() ||
-        Worker == Term_->Workers_.end() || Worker->second->Over_)
+    if (!Job || Job->ended() || Live->Stopping_ || !Term_->maySendOrders() ||
+        Worker == Term_->Workers_.end() || Worker->second->Ended_)
       return endRun(
           {Run, jobs::EndKind::Refused, jobs::Checkpoint(), "not sent"});
     const WorkerRowPtr Row = Worker->second;
@@ -350,9 +354,9 @@
     Order.Run_ = Run;
     Order.Payload_ = Payload;
     Order.Token_ = Term_->Token_;
-    Order.From_ = Term_->Table_.find(Run.Task_)->Saved_;
+    Order.ResumeFrom_ = Term_->Table_.find(Run.Task_)->Saved_;
     Order.Ticket_ =
-        Term_->Advised_
+        Term_->Advice_
             .ticket({Run.Task_.Job_, Run.Task_.Occurrence_, Run.Task_.Step_},
                     Item.On_.Id_, now())
             .value_or("");
@@ -364,45 +368,45 @@
         Row->clockMs(now()) +
         std::chrono::duration_cast<std::chrono::milliseconds>(StartWindow)
             .count();
-    Row->noteOrder(Order.DeadlineMs_, now(), Term_->Bounds_.LongestHold_);
+    Row->recordOrder(Order.DeadlineMs_, now(), Term_->Bounds_.MaxLease_);
     Row->wake();
     // A run that holds have settled meanwhile needs no further attempt; one
     // could only do harm at a worker that has started again.
     for (int Attempt = 0; Attempt < StartAttempts; ++Attempt)
-      if (!Term_->Table_.find(Run) || tryStart(*Row, Order, Attempt))
+      if (!Term_->Table_.find(Run) || attemptStart(*Row, Order, Attempt))
         break;
-    Tracker_->startFinished(Run);
+    Tracker_->noMoreStarts(Run);
   }
 
   /// One attempt. True when no other is needed.
-  bool tryStart(WorkerRow &Row, const StartOrder &Order, int Attempt) {
+  bool attemptStart(WorkerRow &Row, const StartOrder &Order, int Attempt) {
     Tracker_->startSent(Order.Run_, Order.DeadlineMs_);
     const TimePoint SentAt = now();
     const OrderReply Reply =
         Client_.start(Row.Record_, Order, Row.Answers_.wait());
-    Row.noteAnswer(Reply.Result_, SentAt, now());
+    Row.recordAnswer(Reply.Result_, SentAt, now());
     Term_->Metrics_
         .counter("starts_total{result=\"" + std::string(nameOf(Reply.Result_)) +
                  "\"}")
         .add();
     Term_->Metrics_.histogram("start_answer_seconds")
         .record(std::chrono::duration<double>(now() - SentAt).count());
-    if (Term_->over())
+    if (Term_->ended())
       return true;
     const jobs::RunName &Run = Order.Run_;
     if (Reply.ClockMs_ > 0)
-      Row.heardClock(Reply.ClockMs_, now());
+      Row.updateClock(Reply.ClockMs_, now());
     logStart(Row, Order, Reply, Attempt);
     const auto Ended =
         Tracker_->startAnswered(Run, Reply.Result_, Attempt, now());
     if (Reply.Result_ == OrderResult::OtherLife)
-      lifeOver(Row, "another life answers", true);
+      endLife(Row, "another life answers", true);
     const scheduling::StepName Step{Run.Task_.Job_, Run.Task_.Occurrence_,
                                     Run.Task_.Step_};
     if (Reply.Result_ == OrderResult::BadTicket)
-      Term_->Advised_.refused(Step, Row.Record_.Life_.Id_);
+      Term_->Advice_.refused(Step, Row.Record_.Life_.Id_);
     if (Reply.Result_ == OrderResult::NoRoom)
-      Row.Distrust_ += DistrustOfFailure;
+      Row.Distrust_ += DistrustPerFailure;
     if (Ended)
       endRun(*Ended);
     return Reply.Result_ != OrderResult::Unknown;
@@ -421,8 +425,8 @@
   TermPtr Term_;
   Client &Client_;
   std::shared_ptr<RunTracker> Tracker_;
-  std::shared_ptr<RunStops<Store, Client>> Stops_;
-  FillerPace<Store, Client> Fillers_;
+  std::shared_ptr<RunStopper<Store, Client>> Stopper_;
+  FillerPaceController<Store, Client> Fillers_;
 };
 
 } // namespace laburnumspread::cell
