--- a/bench/micro/ledgerbench.cpp
+++ b/bench/micro/ledgerbench.cpp
@@ -1,6 +1,6 @@
 #include "bench/micro/fixtures.h"
 #include "entry/entrystate.h"
-#include "idempotency/hometable.h"
+#include "idempotency/replicatable.h"
 
 #include <benchmark/benchmark.h>
 
@@ -47,7 +47,7 @@
 
 /// One key reserved at a home that holds range(0) others.
 void reserveKey(benchmark::State &State) {
-  idempotency::HomeTable Homes(memberId(0));
+  idempotency::ReplicaTable Homes(memberId(0));
   const membership::View View = viewOf(1);
   Homes.adoptView(View, Start);
   idempotency::ReserveRequest Request;
--- a/bench/micro/placementbench.cpp
+++ b/bench/micro/placementbench.cpp
@@ -36,7 +36,7 @@
       [](const fleet::TeamName &) { return true; },
       Start};
   for (auto _ : State)
-    benchmark::DoNotOptimize(Queue.choose(Inputs));
+    benchmark::DoNotOptimize(Queue.selectNext(Inputs));
 }
 BENCHMARK(chooseTeam)
     ->Args({6, 10})
@@ -50,11 +50,11 @@
   limits::UnitLedger Ledger = ledgerOf(Tables, 7);
   routing::EndpointTable Table;
   for (const auto &[Name, Vm] : Tables.Vms_)
-    Table.declare(Vm, *Ledger.find(entry::slotsSubject(Name)));
+    Table.addOrUpdate(Vm, *Ledger.find(entry::slotsSubject(Name)));
   const fleet::ZoneName Zone("z1");
   std::mt19937_64 Random(1);
   for (auto _ : State)
-    benchmark::DoNotOptimize(Table.choose(
+    benchmark::DoNotOptimize(Table.selectEndpoint(
         fleet::PoolName("pool-0"),
         {Ledger, Zone, {}, Start + std::chrono::seconds(5), Start, {}},
         Random));
--- a/bench/policy/moves.cpp
+++ b/bench/policy/moves.cpp
@@ -64,7 +64,7 @@
 
   void apply(const pools::Move &Step) {
     auto &Status = Tables_.Vms_.at(Step.Vm_).Status_;
-    Status.LentTo_ = Step.Home_ ? PoolName() : Step.To_;
+    Status.LentTo_ = Step.ToDeclaredPool_ ? PoolName() : Step.To_;
   }
 };
 
--- a/bench/policy/shares.cpp
+++ b/bench/policy/shares.cpp
@@ -202,7 +202,7 @@
     Usage_.addRunning(Pool, plans()[Team].Name_, -1);
   }
   std::optional<Arrival> next(TimePoint Now) {
-    const auto Chosen = Queue_.choose(
+    const auto Chosen = Queue_.selectNext(
         {Usage_, Pool, PoolSlots,
          [](const TeamName &Name) { return plans()[teamIndex(Name)].Share_; },
          [](const TeamName &) { return true; }, Now});
--- a/bench/policy/wave.cpp
+++ b/bench/policy/wave.cpp
@@ -1,6 +1,6 @@
 #include "bench/policy/policytypes.h"
 
-#include "maintenance/availability.h"
+#include "maintenance/disruptionbudgets.h"
 #include "maintenance/waveplanner.h"
 
 namespace laburnumspread::bench {
--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -57,8 +57,8 @@
   framework::http::parseTarget(Bytes);
   framework::http::parseAddress(Bytes);
   api::parseSize(Bytes).IgnoreError();
-  if (const auto Key = idempotency::parseRequestKey(Bytes))
-    require(idempotency::parseRequestKey(Key->Text_).has_value());
+  if (const auto Key = idempotency::parseIdempotencyKey(Bytes))
+    require(idempotency::parseIdempotencyKey(Key->Text_).has_value());
 }
 
 void peers(std::string_view Bytes) {
@@ -75,7 +75,7 @@
       [](const store::WatchBatch &) { return true; };
   store::WatchReader Reader(Take);
   Reader.feed(Bytes);
-  membership::viewFromText(Bytes).IgnoreError();
+  membership::parseView(Bytes).IgnoreError();
   config::ConfigTable Table("/l/");
   for (const char *Key : {"/l/config/vms/0001", "/l/config/keys/0001"})
     Table.apply({{Key, std::string(Bytes), fleet::Revision(1)}},
--- a/src/api/internal/callerapi.cpp
+++ b/src/api/internal/callerapi.cpp
@@ -50,7 +50,7 @@
   if (!Millis || *Millis > LargestMillis)
     return std::nullopt;
   return std::min(framework::clock::fromMillis(*Millis),
-                  Now + membership::LongestTaskLease);
+                  Now + membership::MaxTaskLease);
 }
 
 std::optional<Problem> readKey(const Headers &Fields, entry::TimePoint Now,
@@ -62,7 +62,7 @@
     return notRun(ProblemCode::MissingIdempotencyKey,
                   "a non-repeatable request needs an Idempotency-Key");
   }
-  Into.Key_ = idempotency::parseRequestKey(*Text);
+  Into.Key_ = idempotency::parseIdempotencyKey(*Text);
   if (!Into.Key_)
     return notRun(ProblemCode::MalformedIdempotencyKey,
                   "Idempotency-Key must be a UUID of version 7");
@@ -215,7 +215,7 @@
   const auto Team = teamOf(Call);
   if (!Team)
     return;
-  const auto Key = idempotency::parseRequestKey(Text);
+  const auto Key = idempotency::parseIdempotencyKey(Text);
   if (!Key)
     return replyProblem(Call, ProblemCode::MalformedIdempotencyKey,
                         "not a UUID of version 7");
--- a/src/api/internal/httpapi.cpp
+++ b/src/api/internal/httpapi.cpp
@@ -43,8 +43,9 @@
         {"incarnation", Member.Id_.Incarnation_.value()},
         {"zone", Member.Zone_.str()},
         {"leaving", Member.Leaving_},
-        {"inTouch", Member.Id_ == State.Self_.Id_ ||
-                        State.Contact_.inTouch(Member.Id_, State.now())}});
+        {"inTouch",
+         Member.Id_ == State.Self_.Id_ ||
+             State.Contact_.isPeerReachable(Member.Id_, State.now())}});
   return Rows;
 }
 
@@ -52,7 +53,7 @@
 /// of 11,000 endpoints would be most of the dump, and of its memory.
 json::array dumpSubjects(const limits::UnitLedger &Ledger) {
   json::array Rows;
-  for (std::uint32_t I = 0; I < Ledger.subjects(); ++I) {
+  for (std::uint32_t I = 0; I < Ledger.subjectCount(); ++I) {
     const limits::SubjectIndex Index(I);
     const limits::SubjectCounts Counts = Ledger.counts(Index);
     const bool Idle = Counts.Running_ + Counts.Lent_ + Counts.Borrowed_ == 0;
@@ -84,7 +85,7 @@
     for (routing::EndpointIndex Index : Table.inPool(Pool)) {
       const routing::Endpoint &Row = Table.at(Index);
       if (Row.Running_ == 0 && Row.Open_ &&
-          Row.Health_ == routing::Health::Good)
+          Row.Health_ == routing::Health::Healthy)
         continue;
       Rows.push_back(json::object{{"vm", Row.Vm_.str()},
                                   {"pool", Pool.str()},
@@ -210,7 +211,7 @@
   Dump["started"] = State.Started_;
   Dump["leaving"] = State.Leaving_;
   Dump["fenced"] = State.fenced();
-  Dump["storeInTouch"] = State.Contact_.storeInTouch(State.now());
+  Dump["storeInTouch"] = State.Contact_.isStoreReachable(State.now());
   Dump["refusesStore"] = State.Config_.refusesStore();
   Dump["configRevision"] = State.Config_.revision().value();
   Dump["unreadableValues"] = State.Config_.unreadable();
@@ -218,10 +219,10 @@
       json::object{{"number", State.View_.Number_.value()},
                    {"settledThrough", State.View_.SettledThrough_.value()},
                    {"members", dumpMembers(State)}};
-  Dump["stillHeld"] = State.Ledger_.statement().StillHeld_.size();
+  Dump["stillHeld"] = State.Ledger_.releaseStatement().StillHeld_.size();
   Dump["bucketsToCopy"] = State.Homes_.bucketsToCopy();
   Dump["idempotencyRecords"] = State.Homes_.records();
-  Dump["blindBuckets"] = State.Homes_.blindBuckets(State.now());
+  Dump["blindBuckets"] = State.Homes_.bucketsWithLostRecords(State.now());
   Dump["limits"] = dumpSubjects(State.Ledger_);
   Dump["unitsInUse"] = dumpUnits(State.Ledger_);
   Dump["endpoints"] = dumpEndpoints(State.Endpoints_);
--- a/src/api/internal/operatorapi.cpp
+++ b/src/api/internal/operatorapi.cpp
@@ -238,9 +238,9 @@
   entry::EntryState &State = Context_.State_;
   // An entry that does not reach most of the view could accept a withdrawal
   // that the others never hear of while they still serve: see
-  // ContactTable::fenced.
-  if (State.Started_ &&
-      State.Contact_.mostInTouch(State.View_, State.Self_.Id_, State.now()))
+  // ReachabilityTracker::fenced.
+  if (State.Started_ && State.Contact_.isMajorityReachable(
+                            State.View_, State.Self_.Id_, State.now()))
     return true;
   replyProblem(Call, ProblemCode::CutOff,
                "this entry does not reach most other entries; a change could "
@@ -380,7 +380,8 @@
       continue;
     const bool Self = Member.Id_ == State.Self_.Id_;
     const auto Row = State.Peers_.find(Member.Id_);
-    const bool Heard = Self || State.Contact_.inTouch(Member.Id_, State.now());
+    const bool Heard =
+        Self || State.Contact_.isPeerReachable(Member.Id_, State.now());
     Revision Has = Self ? State.Config_.revision() : Revision(0);
     if (Row != State.Peers_.end())
       Has = Row->second.Last_.ConfigRevision_;
--- a/src/app/internal/entryapp.cpp
+++ b/src/app/internal/entryapp.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 /// Time in which an entry that was told to stop answers what is in flight.
-constexpr auto DrainTime = membership::LongestTaskLease;
+constexpr auto DrainTime = membership::MaxTaskLease;
 constexpr auto HandoverTime = 20s;
 constexpr auto CheckEvery = 20ms;
 constexpr auto TrimEvery = 5s;
@@ -48,9 +48,9 @@
     const auto Slots = State.Ledger_.setLimit(
         entry::slotsSubject(Item.Name_), Vm ? Vm->Spec_.Slots_.value() : 0);
     if (Vm)
-      State.Endpoints_.declare(*Vm, Slots);
+      State.Endpoints_.addOrUpdate(*Vm, Slots);
     else
-      State.Endpoints_.withdraw(fleet::VmName(Item.Name_));
+      State.Endpoints_.remove(fleet::VmName(Item.Name_));
   }
   if (Item.Kind_ == fleet::Kind::Keys)
     State.Decisions_.add(Gone ? entry::DecisionKind::Withdrawal
--- a/src/ctl/tests/commandstest.cpp
+++ b/src/ctl/tests/commandstest.cpp
@@ -39,7 +39,7 @@
 
 BOOST_AUTO_TEST_CASE(NewKeysAreUsableKeys) {
   const std::string Text = newIdempotencyKey();
-  const auto Key = laburnumspread::idempotency::parseRequestKey(Text);
+  const auto Key = laburnumspread::idempotency::parseIdempotencyKey(Text);
   BOOST_REQUIRE_MESSAGE(Key.has_value(), Text);
   BOOST_TEST(Text != newIdempotencyKey());
 }
--- a/src/entry/entrystate.h
+++ b/src/entry/entrystate.h
@@ -5,13 +5,13 @@
 #include "entry/decisionlog.h"
 #include "entry/entrysettings.h"
 #include "framework/metrics/metrics.h"
-#include "idempotency/hometable.h"
+#include "idempotency/replicatable.h"
 #include "limits/unitledger.h"
-#include "membership/contact.h"
+#include "membership/reachability.h"
 #include "membership/viewchanges.h"
 #include "peers/messages.h"
 #include "routing/endpointtable.h"
-#include "routing/estimates.h"
+#include "routing/runtimeestimates.h"
 #include "sharing/fleetusage.h"
 
 #include <functional>
@@ -50,11 +50,11 @@
   membership::View View_;
   /// Revision at which View_ was written.
   fleet::Revision ViewRevision_;
-  membership::ContactTable Contact_;
+  membership::ReachabilityTracker Contact_;
   limits::UnitLedger Ledger_;
-  idempotency::HomeTable Homes_;
+  idempotency::ReplicaTable Homes_;
   routing::EndpointTable Endpoints_;
-  routing::Estimates Estimates_;
+  routing::RunTimeEstimates Estimates_;
   sharing::FleetUsage Usage_;
   std::unordered_map<MemberId, PeerRow> Peers_;
   DecisionLog Decisions_;
--- a/src/entry/internal/configservice.cpp
+++ b/src/entry/internal/configservice.cpp
@@ -71,7 +71,7 @@
       Store_.range(State_.Settings_.StorePrefix_, Since, SentAt + PollTimeout);
   if (!Read.ok() || refuses(Read->StoreRevision_))
     return false;
-  State_.Contact_.storeAnswered(SentAt);
+  State_.Contact_.recordStoreReply(SentAt);
   take(Read->Items_, Read->StoreRevision_);
   return true;
 }
@@ -129,7 +129,7 @@
   if (Item.ModRevision_ <= State_.ViewRevision_)
     return;
   const absl::StatusOr<membership::View> Read =
-      membership::viewFromText(Item.Value_);
+      membership::parseView(Item.Value_);
   if (!Read.ok()) {
     framework::log::error("view.unreadable")
         .field("reason", std::string(Read.status().message()));
--- a/src/entry/internal/membershipservice.cpp
+++ b/src/entry/internal/membershipservice.cpp
@@ -64,18 +64,18 @@
   Beat.SettledThrough_ = State_.View_.SettledThrough_;
   Beat.ConfigRevision_ = State_.Config_.revision();
   if (!State_.View_.settled()) {
-    Beat.StillHeld_ = State_.Ledger_.statement().StillHeld_;
+    Beat.StillHeld_ = State_.Ledger_.releaseStatement().StillHeld_;
     Beat.BucketsToCopy_ = State_.Homes_.bucketsToCopy();
   }
   for (const auto &[Name, Vm] : State_.Config_.tables().Vms_) {
     if (Vm.Status_.Phase_ == fleet::VmPhase::Active && !Vm.Spec_.Drain_)
       continue;
     const auto Subject = State_.Ledger_.find(slotsSubject(Name));
-    const std::uint32_t Busy = Subject ? State_.Ledger_.busy(*Subject) : 0;
+    const std::uint32_t Busy = Subject ? State_.Ledger_.busyUnits(*Subject) : 0;
     if (Busy > 0)
       Beat.Leaving_.push_back({fleet::VmName(Name), Busy});
   }
-  Beat.StoreInTouch_ = State_.Contact_.storeInTouch(State_.now());
+  Beat.StoreInTouch_ = State_.Contact_.isStoreReachable(State_.now());
   Beat.Ready_ = State_.Started_ && !State_.Leaving_;
   return Beat;
 }
@@ -91,7 +91,7 @@
       FewestRows, UseBytesPerSecond / (BeatsPerSecond * Peers * BytesPerRow));
   for (const auto &Row : State_.Usage_.takeChanged(Most))
     Into.Use_.push_back(
-        {Row.Pool_, Row.Team_, Row.Use_.Running_, Row.Use_.Waiting_});
+        {Row.Pool_, Row.Team_, Row.Usage_.Running_, Row.Usage_.Waiting_});
 }
 
 void MembershipService::sendBeat(const MemberId &To,
@@ -127,12 +127,12 @@
   Row.SentAt_ = From.SentAt_;
   Row.HeardAt_ = State_.now();
   if (framework::clock::toMicros(Beat.Echo_) != 0)
-    State_.Contact_.peerAnswered(From.Id_, Beat.Echo_);
-  State_.Ledger_.hear({From.Id_, Beat.View_, Beat.StillHeld_});
+    State_.Contact_.recordPeerReply(From.Id_, Beat.Echo_);
+  State_.Ledger_.applyReleaseStatement({From.Id_, Beat.View_, Beat.StillHeld_});
   std::vector<sharing::FleetUsage::Row> Use;
   for (const peers::PoolUse &Item : Beat.Use_)
     Use.push_back({Item.Pool_, Item.Team_, {Item.Running_, Item.Waiting_}});
-  State_.Usage_.update(From.Id_, Use);
+  State_.Usage_.updatePeerRows(From.Id_, Use);
   Config_.peerKnows(From.Id_, Beat);
   // A newcomer that is in no view hears from nobody unless it is answered.
   if (!State_.View_.find(From.Id_))
@@ -146,7 +146,7 @@
     if (State_.View_.find(Row.first) ||
         State_.now() - Row.second.HeardAt_ <= ForgetPeerAfter)
       return false;
-    State_.Usage_.forget(Row.first);
+    State_.Usage_.removePeer(Row.first);
     return true;
   });
 }
@@ -213,7 +213,7 @@
                                                const std::string &Why) {
   // Its endpoints may work on until the last task lease that it could have
   // given; nothing of its may be used before.
-  const TimePoint Reusable = State_.now() + membership::LongestTaskLease +
+  const TimePoint Reusable = State_.now() + membership::MaxTaskLease +
                              framework::clock::ClockSkewMargin;
   const absl::Status Done = changeView([&](const View &Now) {
     return membership::withRemoved(Now, Gone, Reusable);
@@ -227,7 +227,7 @@
 std::vector<membership::MemberProgress> MembershipService::progress() const {
   std::vector<membership::MemberProgress> Result;
   Result.push_back({State_.Self_.Id_, State_.Ledger_.view(),
-                    State_.Ledger_.statement().StillHeld_.size(),
+                    State_.Ledger_.releaseStatement().StillHeld_.size(),
                     State_.Homes_.bucketsToCopy()});
   for (const auto &[Id, Row] : State_.Peers_)
     Result.push_back({Id, Row.Last_.View_, Row.Last_.StillHeld_.size(),
@@ -242,7 +242,7 @@
   // who that is, the compare-and-swap lets one of them win.
   for (const Member &Item : State_.View_.Members_)
     if (Item.Id_ < State_.Self_.Id_ &&
-        State_.Contact_.inTouch(Item.Id_, State_.now()))
+        State_.Contact_.isPeerReachable(Item.Id_, State_.now()))
       return;
   const auto Known = progress();
   if (!membership::canSettle(State_.View_, Known, State_.now()))
@@ -253,7 +253,7 @@
 }
 
 void MembershipService::advance() {
-  if (!State_.Contact_.storeInTouch(State_.now()))
+  if (!State_.Contact_.isStoreReachable(State_.now()))
     return;
   if (State_.ViewRevision_.value() == 0)
     makeFirstView().IgnoreError();
@@ -275,9 +275,9 @@
   // Without the store nothing can be handed over; the next run on this VM
   // removes this one. A store that is slow for a moment is waited for.
   const TimePoint Patience = State_.now() + StorePatience;
-  while (
-      State_.isMember() && State_.now() < Deadline &&
-      (State_.Contact_.storeInTouch(State_.now()) || State_.now() < Patience)) {
+  while (State_.isMember() && State_.now() < Deadline &&
+         (State_.Contact_.isStoreReachable(State_.now()) ||
+          State_.now() < Patience)) {
     const Member *Self = State_.View_.find(State_.Self_.Id_);
     if (!Self->Leaving_)
       changeView([this](const View &Now) {
@@ -317,7 +317,7 @@
   DrainState Result;
   Result.Awaited_ = inForce(LeavingSince).Awaited_;
   if (const auto Subject = State_.Ledger_.find(slotsSubject(Vm.str())))
-    Result.Busy_ += State_.Ledger_.busy(*Subject);
+    Result.Busy_ += State_.Ledger_.busyUnits(*Subject);
   for (const auto &[Id, Row] : State_.Peers_)
     for (const peers::VmUse &Item : Row.Last_.Leaving_)
       if (Item.Vm_ == Vm)
--- a/src/entry/internal/placementloans.cpp
+++ b/src/entry/internal/placementloans.cpp
@@ -10,7 +10,7 @@
 using fleet::PoolName;
 using fleet::TeamName;
 using routing::EndpointIndex;
-using sharing::PeerWish;
+using sharing::BorrowRequest;
 using namespace std::chrono_literals;
 
 namespace {
@@ -39,16 +39,17 @@
 
 // Lending
 
-bool PlacementService::grantWish(const PoolName &Pool, const PeerWish &Wish) {
+bool PlacementService::grantWish(const PoolName &Pool,
+                                 const BorrowRequest &Wish) {
   for (EndpointIndex Index : State_.Endpoints_.inPool(Pool)) {
     const auto &Row = State_.Endpoints_.at(Index);
-    if (!Row.Open_ || State_.Ledger_.freeOwned(Row.Subject_) == 0)
+    if (!Row.Open_ || State_.Ledger_.freeOwnedUnits(Row.Subject_) == 0)
       continue;
     const auto Loans =
         State_.Ledger_.lend(Row.Subject_, Wish.From_, 1, Wish.Until_);
     State_.Send_(Wish.From_, peers::Grant{Loans, Pool, Wish.Team_});
     State_.Metrics_.counter("loans_granted_total{kind=\"slot\"}").add();
-    poolState(Pool).Queue_.granted(Wish);
+    poolState(Pool).Queue_.recordGrant(Wish);
     return true;
   }
   return false;
@@ -59,8 +60,8 @@
   const auto Subject = State_.Ledger_.find(teamSubject(Team.str()));
   if (Wishes == TeamWishes_.end() || !Subject)
     return;
-  for (PeerWish &Wish : Wishes->second) {
-    if (Wish.LapsesAt_ <= State_.now() || Wish.Count_ == 0)
+  for (BorrowRequest &Wish : Wishes->second) {
+    if (Wish.ExpiresAt_ <= State_.now() || Wish.Count_ == 0)
       continue;
     const auto Loans =
         State_.Ledger_.lend(*Subject, Wish.From_, Wish.Count_, Wish.Until_);
@@ -71,8 +72,8 @@
         .add(Loans.size());
     State_.Send_(Wish.From_, peers::Grant{Loans, PoolName(), Team});
   }
-  std::erase_if(Wishes->second, [&](const PeerWish &Wish) {
-    return Wish.Count_ == 0 || Wish.LapsesAt_ <= State_.now();
+  std::erase_if(Wishes->second, [&](const BorrowRequest &Wish) {
+    return Wish.Count_ == 0 || Wish.ExpiresAt_ <= State_.now();
   });
   if (Wishes->second.empty())
     TeamWishes_.erase(Wishes);
@@ -83,21 +84,21 @@
   if (State_.fenced())
     return;
   const TimePoint Now = State_.now();
-  PeerWish Wish{From.Id_,
-                Asked.Team_,
-                Asked.Class_,
-                std::min(Asked.Count_, LoansPerWish),
-                std::min(Asked.Until_, Now + membership::LongestTaskLease),
-                Now + WishLasts};
+  BorrowRequest Wish{From.Id_,
+                     Asked.Team_,
+                     Asked.Class_,
+                     std::min(Asked.Count_, LoansPerWish),
+                     std::min(Asked.Until_, Now + membership::MaxTaskLease),
+                     Now + WishLasts};
   if (!Asked.Pool_.empty()) {
     if (!declared(Asked.Pool_))
       return;
-    poolState(Asked.Pool_).Queue_.wish(Wish);
+    poolState(Asked.Pool_).Queue_.addBorrowRequest(Wish);
     return pump(Asked.Pool_);
   }
   auto &Wishes = TeamWishes_[Asked.Team_];
-  std::erase_if(Wishes,
-                [&](const PeerWish &Old) { return Old.From_ == From.Id_; });
+  std::erase_if(
+      Wishes, [&](const BorrowRequest &Old) { return Old.From_ == From.Id_; });
   Wishes.push_back(Wish);
   serveTeamWishes(Asked.Team_);
 }
@@ -105,7 +106,7 @@
 void PlacementService::handle(const peers::Sender &,
                               const peers::Grant &Granted) {
   for (const limits::Loan &Item : Granted.Loans_)
-    State_.Ledger_.receive(Item, State_.now());
+    State_.Ledger_.acceptLoan(Item, State_.now());
   if (!Granted.Pool_.empty())
     return pump(Granted.Pool_);
   pumpAll();
@@ -114,7 +115,7 @@
 void PlacementService::handle(const peers::Sender &,
                               const peers::Return &Returned) {
   for (const limits::LoanId &Id : Returned.Loans_)
-    State_.Ledger_.returned(Id);
+    State_.Ledger_.acceptReturn(Id);
   std::vector<TeamName> Wishing;
   for (const auto &[Team, Wishes] : TeamWishes_)
     Wishing.push_back(Team);
@@ -158,14 +159,14 @@
 
 std::uint32_t PlacementService::freePermits(const TeamName &Team) const {
   const auto Subject = State_.Ledger_.find(teamSubject(Team.str()));
-  return Subject ? State_.Ledger_.idle(*Subject) : 0;
+  return Subject ? State_.Ledger_.idleUnits(*Subject) : 0;
 }
 
 std::uint32_t PlacementService::freeSlots(const PoolName &Pool) const {
   std::uint32_t Sum = 0;
   for (EndpointIndex Index : State_.Endpoints_.inPool(Pool))
     if (State_.Endpoints_.at(Index).Open_)
-      Sum += State_.Ledger_.idle(State_.Endpoints_.at(Index).Subject_);
+      Sum += State_.Ledger_.idleUnits(State_.Endpoints_.at(Index).Subject_);
   return Sum;
 }
 
@@ -228,7 +229,7 @@
 }
 
 void PlacementService::returnIdleLoans() {
-  sendReturns(State_.Ledger_.takeIdleLoans(State_.now() - LoanIdleTime));
+  sendReturns(State_.Ledger_.removeIdleLoans(State_.now() - LoanIdleTime));
 }
 
 } // namespace laburnumspread::entry
--- a/src/entry/internal/placementservice.cpp
+++ b/src/entry/internal/placementservice.cpp
@@ -10,7 +10,7 @@
 using fleet::TeamName;
 using framework::fibers::sleepFor;
 using routing::EndpointIndex;
-using sharing::PeerWish;
+using sharing::BorrowRequest;
 using sharing::Ticket;
 using namespace std::chrono_literals;
 
@@ -72,12 +72,12 @@
   if (!State_.Endpoints_.anyHealthy(Request.Pool_))
     return Problem{ProblemCode::NoEndpoint,
                    "no endpoint of the pool takes work now",
-                   fleet::Outcome::NotRun, routing::FirstEjection};
+                   fleet::Outcome::NotRun, routing::BaseEjectionTime};
   const sharing::PoolQueue &Queue = poolState(Request.Pool_).Queue_;
   const std::uint32_t Slots = State_.Endpoints_.openSlots(Request.Pool_);
   // Only the waiters of this team count: the others do not hold up a team
   // that is below its share, and this is to refuse the hopeless alone.
-  const Duration Wait = State_.Estimates_.waitBehind(
+  const Duration Wait = State_.Estimates_.estimatedWait(
       Request.Pool_, Queue.waiting(Request.Team_), Slots);
   if (Request.Class_ != fleet::RequestClass::Urgent &&
       State_.now() + Wait > Request.Deadline_)
@@ -103,7 +103,7 @@
   Item->Waiter_ = std::make_shared<framework::fibers::Waiter>();
   PoolState &Pool = poolState(Request.Pool_);
   if (absl::Status Queued = Pool.Queue_.push(Item->Ticket_); !Queued.ok()) {
-    const Duration Wait = State_.Estimates_.waitBehind(
+    const Duration Wait = State_.Estimates_.estimatedWait(
         Request.Pool_, Pool.Queue_.size(),
         State_.Endpoints_.openSlots(Request.Pool_));
     Refusal = {ProblemCode::QueueFull, std::string(Queued.message()),
@@ -156,14 +156,14 @@
   Row.Starved_ = false;
   while (true) {
     const TimePoint Now = State_.now();
-    const sharing::Choice Next = Row.Queue_.choose(
+    const sharing::SlotRecipient Next = Row.Queue_.selectNext(
         {State_.Usage_, Pool, State_.Endpoints_.openSlots(Pool),
          [this](const TeamName &Team) { return weightOf(Team); },
          [&](const TeamName &Team) { return !Blocked.contains(Team); }, Now});
     if (const auto *Chosen = std::get_if<Ticket>(&Next)) {
       if (!startTicket(Pool, *Chosen, Blocked))
         break;
-    } else if (const auto *Wish = std::get_if<PeerWish>(&Next)) {
+    } else if (const auto *Wish = std::get_if<BorrowRequest>(&Next)) {
       if (!grantWish(Pool, *Wish))
         break;
     } else {
@@ -191,7 +191,7 @@
     TeamWishedAt_.try_emplace(Chosen.Team_);
     return true;
   }
-  const auto Endpoint = State_.Endpoints_.choose(
+  const auto Endpoint = State_.Endpoints_.selectEndpoint(
       Pool,
       {State_.Ledger_, State_.Self_.Zone_, Item->Request_->Size_,
        Chosen.Deadline_, Now, Item->Avoid_},
@@ -208,7 +208,7 @@
   const auto TeamPermit = State_.Ledger_.acquire(*Team, Chosen.Deadline_, Now);
   const auto Slot = State_.Ledger_.acquire(Row.Subject_, Chosen.Deadline_, Now);
   Item->Placement_ = Placement{*Endpoint, *TeamPermit, *Slot};
-  State_.Endpoints_.started(*Endpoint);
+  State_.Endpoints_.exchangeStarted(*Endpoint);
   leaveQueue(Item);
   State_.Usage_.addRunning(Pool, Chosen.Team_, 1);
   State_.Metrics_
@@ -226,24 +226,24 @@
 }
 
 void PlacementService::finish(const WorkRequest &Request, const Placement &Held,
-                              routing::Exchange How, Duration RunTime,
+                              routing::ExchangeResult How, Duration RunTime,
                               const CancelToken &Cancel) {
   State_.Ledger_.release(Held.TeamPermit_);
   State_.Ledger_.release(Held.SlotPermit_);
   State_.Usage_.addRunning(Request.Pool_, Request.Team_, -1);
   const fleet::Pool *Pool = declared(Request.Pool_);
-  const auto Change = State_.Endpoints_.ended(
+  const auto Change = State_.Endpoints_.exchangeEnded(
       Held.Endpoint_, How, Pool ? Pool->Spec_.EjectionCapPercent_ : 0,
       State_.now());
   const std::string &Vm = State_.Endpoints_.at(Held.Endpoint_).Vm_.str();
   if (Change == routing::HealthChange::Ejected)
     State_.Decisions_.add(DecisionKind::Ejection, Vm, "failures-in-a-row",
                           "pool " + Request.Pool_.str());
-  if (Change == routing::HealthChange::Returned)
+  if (Change == routing::HealthChange::Restored)
     State_.Decisions_.add(DecisionKind::Return, Vm, "probation-passed",
                           "pool " + Request.Pool_.str());
-  if (How == routing::Exchange::Succeeded)
-    State_.Estimates_.observed(Request.Pool_, Request.Team_, RunTime);
+  if (How == routing::ExchangeResult::Succeeded)
+    State_.Estimates_.recordRunTime(Request.Pool_, Request.Team_, RunTime);
   std::erase_if(Preemptible_,
                 [&](const Preemptible &Row) { return Row.Cancel_ == &Cancel; });
   serveTeamWishes(Request.Team_);
@@ -261,7 +261,7 @@
 void PlacementService::makeRoomForUrgent() {
   for (auto &[Name, Row] : Pools_) {
     const PoolName &Pool = Name;
-    if (!Row.Queue_.urgentSince(State_.now() - UrgentPatience))
+    if (!Row.Queue_.urgentWaitingSince(State_.now() - UrgentPatience))
       continue;
     const auto Victim = std::find_if(
         Preemptible_.begin(), Preemptible_.end(),
--- a/src/entry/internal/plannerservice.cpp
+++ b/src/entry/internal/plannerservice.cpp
@@ -174,7 +174,7 @@
 DecisionKind PlannerService::decisionOf(ActionKind Kind) const {
   switch (Kind) {
   case ActionKind::Leave:
-  case ActionKind::Recall:
+  case ActionKind::CancelLeave:
     return DecisionKind::Drain;
   case ActionKind::BeginReboot:
   case ActionKind::Reboot:
@@ -237,7 +237,8 @@
         if (!Object || fleet::poolOf(*Object) != Step.From_ ||
             Object->Status_.Phase_ != fleet::VmPhase::Active)
           return absl::AbortedError("the VM has changed");
-        Object->Status_.LentTo_ = Step.Home_ ? fleet::PoolName() : Step.To_;
+        Object->Status_.LentTo_ =
+            Step.ToDeclaredPool_ ? fleet::PoolName() : Step.To_;
         Object->Status_.LentSince_ = State_.now();
         return absl::OkStatus();
       });
@@ -245,7 +246,7 @@
     return;
   State_.Metrics_.counter("moves_total").add();
   State_.Decisions_.add(
-      DecisionKind::Move, Step.Vm_, Step.Home_ ? "home" : "lent",
+      DecisionKind::Move, Step.Vm_, Step.ToDeclaredPool_ ? "home" : "lent",
       Step.From_.str() + " to " + Step.To_.str() + ": " + Step.Reason_);
 }
 
@@ -265,9 +266,9 @@
   const auto Answer = Client.exchange(Message, State_.now() + ProbeTimeout);
   maintenance::ProbeState &Row = Probes_[Name];
   if (Answer.ok() && Answer->Status_ == 200)
-    ++Row.GoodInRow_;
+    ++Row.ConsecutiveSuccesses_;
   else
-    Row.GoodInRow_ = 0;
+    Row.ConsecutiveSuccesses_ = 0;
 }
 
 void PlannerService::probeReturned() {
@@ -287,7 +288,7 @@
       MissingInLists_[Member.Id_] = 0;
       continue;
     }
-    if (State_.Contact_.inTouch(Member.Id_, State_.now()))
+    if (State_.Contact_.isPeerReachable(Member.Id_, State_.now()))
       continue;
     // Only a VM that the platform has listed before can be missing from it.
     const auto Row = MissingInLists_.find(Member.Id_);
--- a/src/entry/internal/requestrunner.cpp
+++ b/src/entry/internal/requestrunner.cpp
@@ -9,7 +9,7 @@
 
 namespace http = framework::http;
 using idempotency::RecordState;
-using idempotency::Verdict;
+using idempotency::ReservationOutcome;
 
 namespace {
 
@@ -154,20 +154,20 @@
   State_.Metrics_.summary("reservation_seconds")
       .record(std::chrono::duration<double>(State_.now() - Start).count());
   switch (Result.Verdict_) {
-  case Verdict::Granted:
+  case ReservationOutcome::Granted:
     Work.Reservation_ = Result.Reservation_;
     return true;
-  case Verdict::Duplicate:
+  case ReservationOutcome::Duplicate:
     answerDuplicate(Work, Result);
     return false;
-  case Verdict::Unknown:
+  case ReservationOutcome::Unknown:
     fail(Work, {ProblemCode::OutcomeUnknown,
                 "the records of the time when the key was minted are lost",
                 fleet::Outcome::Unknown,
                 {}});
     return false;
-  case Verdict::Open:
-  case Verdict::Retry:
+  case ReservationOutcome::Pending:
+  case ReservationOutcome::Retry:
     break;
   }
   fail(Work, {ProblemCode::HomesUnreachable,
@@ -188,21 +188,21 @@
                    fleet::Outcome::NotRun,
                    {}},
                   Subject);
-  if (Found.State_ == RecordState::Ran && Found.Answer_.Whole_) {
+  if (Found.State_ == RecordState::Ran && Found.Response_.Complete_) {
     http::Response Answer;
-    Answer.Status_ = Found.Answer_.Status_;
-    if (!Found.Answer_.ContentType_.empty())
-      Answer.Headers_.add("Content-Type", Found.Answer_.ContentType_);
+    Answer.Status_ = Found.Response_.Status_;
+    if (!Found.Response_.ContentType_.empty())
+      Answer.Headers_.add("Content-Type", Found.Response_.ContentType_);
     Answer.Headers_.add("Request-Outcome", fleet::nameOf(fleet::Outcome::Ran));
     Answer.Headers_.add("Idempotent-Replay", "true");
-    Answer.Body_ = Found.Answer_.Body_;
+    Answer.Body_ = Found.Response_.Body_;
     return Work.Call_.reply(Answer);
   }
   if (Found.State_ == RecordState::Ran)
     return refuse(Work.Call_,
                   {ProblemCode::AlreadyRan,
                    "it has run with status " +
-                       std::to_string(Found.Answer_.Status_) +
+                       std::to_string(Found.Response_.Status_) +
                        "; its answer was too large to keep",
                    fleet::Outcome::Ran,
                    {}},
@@ -232,14 +232,14 @@
   if (Work.Body_.Rest_ && Result.Kind_ != ForwardKind::NotSent)
     return false;
   // Work that did not start adds no load, so it needs no budget.
-  return NotStarted ||
-         (Work.Request_.Repeatable_ && budgetOf(Work.Request_.Pool_).take());
+  return NotStarted || (Work.Request_.Repeatable_ &&
+                        budgetOf(Work.Request_.Pool_).tryConsume());
 }
 
 void RequestRunner::runOn(Run &Work, const Placement &At) {
   const TimePoint Start = State_.now();
   if (Work.Cancel_.cancelled() || !Work.Granted_() || State_.fenced()) {
-    Placements_.finish(Work.Request_, At, routing::Exchange::Refused, {},
+    Placements_.finish(Work.Request_, At, routing::ExchangeResult::Refused, {},
                        Work.Cancel_);
     const bool Cancelled = Work.Cancel_.cancelled();
     return fail(Work, {Cancelled         ? ProblemCode::Cancelled
@@ -255,13 +255,13 @@
   ForwardResult Result =
       Forward_.forward(Work.Request_, At, Work.Body_, Work.Cancel_);
   const bool Preempted = Work.Cancel_.preempted();
-  routing::Exchange How = routing::Exchange::Failed;
+  routing::ExchangeResult How = routing::ExchangeResult::Failed;
   if (Result.Kind_ == ForwardKind::Answered && Result.Answer_.Status_ < 500)
-    How = routing::Exchange::Succeeded;
+    How = routing::ExchangeResult::Succeeded;
   if (Result.Kind_ == ForwardKind::Refused ||
       Result.Kind_ == ForwardKind::CallerFailed || Preempted ||
       Work.Cancel_.cancelled())
-    How = routing::Exchange::Refused;
+    How = routing::ExchangeResult::Refused;
   const std::string Address = State_.Endpoints_.at(At.Endpoint_).Address_;
   if (Result.Kind_ == ForwardKind::Answered) {
     noteAnswer(Work, Result);
@@ -306,13 +306,13 @@
   State_.Metrics_.counter("requests_total{outcome=\"ran\"}").add();
   if (!Work.Reservation_)
     return;
-  idempotency::KeptAnswer Kept;
+  idempotency::StoredResponse Kept;
   Kept.Status_ = Result.Answer_.Status_;
   Kept.ContentType_ =
       std::string(Result.Answer_.Headers_.find("Content-Type").value_or(""));
-  Kept.Whole_ = !Result.More_ &&
-                Result.Answer_.Body_.size() <= idempotency::KeptAnswerBytes;
-  if (Kept.Whole_)
+  Kept.Complete_ = !Result.More_ && Result.Answer_.Body_.size() <=
+                                        idempotency::MaxStoredResponseBytes;
+  if (Kept.Complete_)
     Kept.Body_ = Result.Answer_.Body_;
   Reservations_.finish(*Work.Reservation_, RecordState::Ran, Kept);
 }
--- a/src/entry/internal/reservationservice.cpp
+++ b/src/entry/internal/reservationservice.cpp
@@ -5,15 +5,15 @@
 namespace laburnumspread::entry {
 
 using framework::fibers::sleepFor;
+using idempotency::ReservationOutcome;
 using idempotency::ReserveRequest;
-using idempotency::Verdict;
 using namespace std::chrono_literals;
 
 namespace {
 
 /// A home that has not answered by then counts as hung; the two others decide.
 constexpr Duration ReplyTimeout = 400ms;
-/// While a view changes, homes answer OtherView or NotReady for a moment.
+/// While a view changes, homes answer ViewMismatch or NotReady for a moment.
 constexpr Duration FirstPause = 10ms;
 constexpr Duration LongestPause = 320ms;
 constexpr Duration RetryFor = 2s;
@@ -27,7 +27,7 @@
 
 void ReservationService::copyLoop() {
   while (true) {
-    for (const auto &Wanted : State_.Homes_.wantedCopies())
+    for (const auto &Wanted : State_.Homes_.missingCopies())
       State_.Send_(Wanted.Source_, Wanted);
     sleepFor(CopyEvery);
   }
@@ -37,7 +37,7 @@
 void ReservationService::toHomes(const idempotency::RecordName &Name,
                                  const Message &Body) {
   for (const MemberId &Home :
-       idempotency::homesOf(State_.View_, idempotency::bucketOf(Name))) {
+       idempotency::replicasOf(State_.View_, idempotency::bucketOf(Name))) {
     if (Home == State_.Self_.Id_)
       handle({State_.Self_.Id_, "", {}}, Body);
     else
@@ -53,10 +53,10 @@
     // The first attempt may be about to end, or its end may be on its way to
     // the homes: its answer is better than "in progress".
     const bool UnderWay =
-        Result.Verdict_ == Verdict::Duplicate &&
+        Result.Verdict_ == ReservationOutcome::Duplicate &&
         Result.Found_.State_ == idempotency::RecordState::Reserved &&
         Result.Found_.LeaseUntil_ > State_.now();
-    if ((Result.Verdict_ != Verdict::Retry && !UnderWay) ||
+    if ((Result.Verdict_ != ReservationOutcome::Retry && !UnderWay) ||
         State_.now() >= GiveUp)
       return Result;
     sleepFor(pauseBefore(Try));
@@ -82,28 +82,28 @@
   Asked.LeaseUntil_ = Request.Deadline_;
   Asked.Fingerprint_ = Fingerprint;
   auto Row = std::make_shared<Pending>(Pending{
-      {Asked.Attempt_,
-       idempotency::homesOf(State_.View_, idempotency::bucketOf(Asked.Name_))},
+      {Asked.Attempt_, idempotency::replicasOf(
+                           State_.View_, idempotency::bucketOf(Asked.Name_))},
       std::make_shared<framework::fibers::Waiter>()});
   Pending_[Asked.Attempt_.Sequence_] = Row;
   toHomes(Asked.Name_, Asked);
-  if (Row->Tally_.verdict(false) == Verdict::Open)
+  if (Row->Tally_.outcome(false) == ReservationOutcome::Pending)
     Row->Waiter_->waitUntil(
         std::min(Request.Deadline_, State_.now() + ReplyTimeout));
   Pending_.erase(Asked.Attempt_.Sequence_);
   ReservationResult Result;
-  Result.Verdict_ = Row->Tally_.verdict(true);
+  Result.Verdict_ = Row->Tally_.outcome(true);
   Result.Found_ = Row->Tally_.found();
   Result.Reservation_ = {Asked.Name_, Asked.Attempt_, Asked.MintedAt_,
                          Asked.LeaseUntil_, Fingerprint};
-  if (Result.Verdict_ != Verdict::Granted)
+  if (Result.Verdict_ != ReservationOutcome::Granted)
     abandon(Result.Reservation_);
   return Result;
 }
 
 void ReservationService::finish(const Reservation &Held,
                                 idempotency::RecordState How,
-                                const idempotency::KeptAnswer &Answer) {
+                                const idempotency::StoredResponse &Answer) {
   idempotency::Record Final;
   Final.Attempt_ = Held.Attempt_;
   Final.State_ = How;
@@ -111,7 +111,7 @@
   Final.ForgetAfter_ = Held.MintedAt_ + idempotency::KeyWindow +
                        3 * framework::clock::ClockSkewMargin;
   Final.Fingerprint_ = Held.Fingerprint_;
-  Final.Answer_ = Answer;
+  Final.Response_ = Answer;
   toHomes(Held.Name_, peers::Finish{{Held.Name_, Final}});
 }
 
@@ -136,7 +136,7 @@
   if (Row == Pending_.end())
     return;
   Row->second->Tally_.add(Said);
-  if (Row->second->Tally_.verdict(false) != Verdict::Open)
+  if (Row->second->Tally_.outcome(false) != ReservationOutcome::Pending)
     Row->second->Waiter_->signal();
 }
 
@@ -152,12 +152,12 @@
 
 void ReservationService::handle(const peers::Sender &From,
                                 const idempotency::CopyRequest &Asked) {
-  State_.Send_(From.Id_, State_.Homes_.answerCopy(Asked));
+  State_.Send_(From.Id_, State_.Homes_.handleCopyRequest(Asked));
 }
 
 void ReservationService::handle(const peers::Sender &,
                                 const idempotency::CopyReply &Said) {
-  State_.Homes_.takeCopy(Said, State_.now());
+  State_.Homes_.applyCopyReply(Said, State_.now());
 }
 
 } // namespace laburnumspread::entry
--- a/src/entry/placementservice.h
+++ b/src/entry/placementservice.h
@@ -29,7 +29,7 @@
 
   /// Gives back what a placement held and notes how the exchange went.
   void finish(const WorkRequest &Request, const Placement &Held,
-              routing::Exchange How, Duration RunTime,
+              routing::ExchangeResult How, Duration RunTime,
               const CancelToken &Cancel);
 
   /// The request runs now. Repeatable batch work may be stopped for urgent
@@ -84,7 +84,8 @@
   void pumpAll();
   bool startTicket(const fleet::PoolName &Pool, const sharing::Ticket &Ticket,
                    std::set<fleet::TeamName> &Blocked);
-  bool grantWish(const fleet::PoolName &Pool, const sharing::PeerWish &Wish);
+  bool grantWish(const fleet::PoolName &Pool,
+                 const sharing::BorrowRequest &Wish);
   void leaveQueue(const WaitingPtr &Item);
   void refuseWaiting(const WaitingPtr &Item, Problem Why);
 
@@ -105,7 +106,7 @@
   std::mt19937_64 Random_;
   std::map<fleet::PoolName, PoolState> Pools_;
   std::map<sharing::TicketId, WaitingPtr> Tickets_;
-  std::map<fleet::TeamName, std::vector<sharing::PeerWish>> TeamWishes_;
+  std::map<fleet::TeamName, std::vector<sharing::BorrowRequest>> TeamWishes_;
   /// Teams whose requests wait for want of a permit, and since when a wish for
   /// one was last sent.
   std::map<fleet::TeamName, TimePoint> TeamWishedAt_;
--- a/src/entry/requesttypes.h
+++ b/src/entry/requesttypes.h
@@ -81,7 +81,7 @@
   TimePoint Deadline_{};
   bool Repeatable_ = true;
   /// Given for all non-repeatable requests.
-  std::optional<idempotency::RequestKey> Key_;
+  std::optional<idempotency::IdempotencyKey> Key_;
   std::string ContentType_;
 };
 
--- a/src/entry/reservationservice.h
+++ b/src/entry/reservationservice.h
@@ -21,7 +21,8 @@
 
 /// What became of the try to reserve a key.
 struct ReservationResult {
-  idempotency::Verdict Verdict_ = idempotency::Verdict::Retry;
+  idempotency::ReservationOutcome Verdict_ =
+      idempotency::ReservationOutcome::Retry;
   Reservation Reservation_;
   /// With Duplicate.
   idempotency::Record Found_;
@@ -37,11 +38,11 @@
   /// Starts the fiber that asks former homes for copies.
   void start();
 
-  /// Waits for most homes of the key. Never Open.
+  /// Waits for most homes of the key. Never Pending.
   ReservationResult reserve(const WorkRequest &Request,
                             std::uint64_t Fingerprint);
   void finish(const Reservation &Held, idempotency::RecordState How,
-              const idempotency::KeptAnswer &Answer);
+              const idempotency::StoredResponse &Answer);
   /// Nothing of the request has left.
   void abandon(const Reservation &Held);
 
--- a/src/idempotency/idempotencytypes.h
+++ b/src/idempotency/idempotencytypes.h
@@ -22,24 +22,24 @@
 
 /// Answers up to this size are kept with the record and given again to a
 /// repeated request; of larger ones only the outcome is.
-constexpr std::size_t KeptAnswerBytes = 4 * 1024;
+constexpr std::size_t MaxStoredResponseBytes = 4 * 1024;
 
 /// A caller's idempotency key: a UUID of version 7.
-struct RequestKey {
+struct IdempotencyKey {
   std::string Text_;
   /// When the caller minted it, as the UUID says.
   TimePoint MintedAt_{};
 };
 
 /// Reads the canonical text form. Empty when it is no UUID of version 7.
-std::optional<RequestKey> parseRequestKey(std::string_view Text);
+std::optional<IdempotencyKey> parseIdempotencyKey(std::string_view Text);
 
 enum class KeyAge { Usable, TooOld, FromTheFuture };
-KeyAge ageOf(const RequestKey &Key, TimePoint Now);
+KeyAge ageOf(const IdempotencyKey &Key, TimePoint Now);
 
 /// Names a record. Two teams that choose the same key never see each other's.
 using RecordName = framework::ids::StrongName<struct RecordNameTag>;
-RecordName recordName(const fleet::TeamName &Team, const RequestKey &Key);
+RecordName recordName(const fleet::TeamName &Team, const IdempotencyKey &Key);
 
 /// One try of one entry to run a request; never used again.
 struct AttemptId {
@@ -49,12 +49,12 @@
 };
 
 /// An endpoint's answer that is kept with its record.
-struct KeptAnswer {
+struct StoredResponse {
   int Status_ = 0;
   std::string ContentType_;
   std::string Body_;
   /// Whether Body_ is the whole answer.
-  bool Whole_ = false;
+  bool Complete_ = false;
 };
 
 enum class RecordState {
@@ -74,7 +74,7 @@
   TimePoint ForgetAfter_{};
   /// Hash of what was asked, to tell a repeat from a key used twice.
   std::uint64_t Fingerprint_ = 0;
-  KeptAnswer Answer_;
+  StoredResponse Response_;
 };
 
 struct NamedRecord {
@@ -100,15 +100,15 @@
 };
 
 enum class ReserveResult {
-  Fresh,
+  Reserved,
   /// A record of another attempt is there.
   Duplicate,
   /// The home does not have its records yet.
   NotReady,
   /// The home is at another view.
-  OtherView,
+  ViewMismatch,
   /// Records of the time when the key was minted are lost.
-  Blind
+  RecordsLost
 };
 
 struct ReserveReply {
@@ -128,14 +128,14 @@
   ViewNumber Since_;
 };
 
-enum class CopyResult { Copied, NotYet, Never };
+enum class CopyResult { Copied, NotReady, Unavailable };
 
 struct CopyReply {
   MemberId Source_;
   Bucket Bucket_;
   ViewNumber Since_;
-  CopyResult Result_ = CopyResult::NotYet;
-  TimePoint BlindBefore_{};
+  CopyResult Result_ = CopyResult::NotReady;
+  TimePoint RecordsLostBefore_{};
   std::vector<NamedRecord> Records_;
 };
 
--- a/src/idempotency/internal/requestkey.cpp
+++ b/src/idempotency/internal/idempotencykey.cpp
@@ -29,10 +29,10 @@
 
 } // namespace
 
-std::optional<RequestKey> parseRequestKey(std::string_view Text) {
+std::optional<IdempotencyKey> parseIdempotencyKey(std::string_view Text) {
   if (!wellFormed(Text))
     return std::nullopt;
-  RequestKey Key;
+  IdempotencyKey Key;
   for (char C : Text)
     Key.Text_ += static_cast<char>(std::tolower(static_cast<unsigned char>(C)));
   const std::string Stamp = Key.Text_.substr(0, 8) + Key.Text_.substr(9, 4);
@@ -42,7 +42,7 @@
   return Key;
 }
 
-KeyAge ageOf(const RequestKey &Key, TimePoint Now) {
+KeyAge ageOf(const IdempotencyKey &Key, TimePoint Now) {
   if (Key.MintedAt_ > Now + framework::clock::ClockSkewMargin)
     return KeyAge::FromTheFuture;
   if (Key.MintedAt_ + KeyWindow < Now)
@@ -50,7 +50,7 @@
   return KeyAge::Usable;
 }
 
-RecordName recordName(const fleet::TeamName &Team, const RequestKey &Key) {
+RecordName recordName(const fleet::TeamName &Team, const IdempotencyKey &Key) {
   return RecordName(Team.str() + "/" + Key.Text_);
 }
 
--- a/src/idempotency/internal/hometable.cpp
+++ b/src/idempotency/internal/replicatable.cpp
@@ -1,4 +1,4 @@
-#include "idempotency/hometable.h"
+#include "idempotency/replicatable.h"
 
 #include "framework/ids/rendezvous.h"
 #include "membership/ownership.h"
@@ -15,11 +15,11 @@
 
 namespace {
 
-constexpr std::size_t HomesPerBucket = 3;
+constexpr std::size_t ReplicationFactor = 3;
 
-std::vector<MemberId> homesUnder(const Ownership &Owners, std::uint32_t Of) {
-  return Owners.spreadOver(framework::ids::rendezvousWeight(Of + 1, 0x686f6d65),
-                           HomesPerBucket);
+std::vector<MemberId> replicasUnder(const Ownership &Owners, std::uint32_t Of) {
+  return Owners.selectAcrossZones(
+      framework::ids::rendezvousWeight(Of + 1, 0x686f6d65), ReplicationFactor);
 }
 
 bool contains(const std::vector<MemberId> &In, const MemberId &Id) {
@@ -42,7 +42,7 @@
   ViewNumber ReadyThrough_;
   Requirement Needs_;
   /// Keys minted before this may have records that are lost.
-  TimePoint BlindBefore_{};
+  TimePoint RecordsLostBefore_{};
   std::unordered_map<RecordName, Record> Records_;
 };
 
@@ -54,11 +54,11 @@
 
 } // namespace
 
-std::vector<MemberId> homesOf(const View &Current, Bucket Of) {
-  return homesUnder(Ownership(Current.owners()), Of.value());
+std::vector<MemberId> replicasOf(const View &Current, Bucket Of) {
+  return replicasUnder(Ownership(Current.owners()), Of.value());
 }
 
-struct HomeTable::State {
+struct ReplicaTable::State {
   explicit State(MemberId Self)
       : Self_(std::move(Self)), Buckets_(BucketCount) {}
 
@@ -100,10 +100,10 @@
       BucketState &Item = Buckets_[B];
       std::size_t First = 0;
       if (!Known)
-        First = startAt(Item, homesUnder(Steps[0].second, B), Next);
+        First = startAt(Item, replicasUnder(Steps[0].second, B), Next);
       for (std::size_t I = First; I < Steps.size(); ++I) {
         const std::vector<MemberId> Before = Item.Homes_;
-        step(Item, Before, homesUnder(Steps[I].second, B), Steps[I].first);
+        step(Item, Before, replicasUnder(Steps[I].second, B), Steps[I].first);
       }
     }
   }
@@ -140,7 +140,7 @@
         // the only records of some keys. Refusing those for ever would stop
         // all work; answering Fresh would run them twice.
         Item.Ready_ = true;
-        Item.BlindBefore_ = Now + ClockSkewMargin;
+        Item.RecordsLostBefore_ = Now + ClockSkewMargin;
       }
     }
     if (Item.Home_ && Item.Ready_)
@@ -151,12 +151,12 @@
   }
 };
 
-HomeTable::HomeTable(MemberId Self)
+ReplicaTable::ReplicaTable(MemberId Self)
     : State_(std::make_unique<State>(std::move(Self))) {}
-HomeTable::~HomeTable() = default;
-HomeTable::HomeTable(HomeTable &&) noexcept = default;
+ReplicaTable::~ReplicaTable() = default;
+ReplicaTable::ReplicaTable(ReplicaTable &&) noexcept = default;
 
-void HomeTable::adoptView(const View &Next, TimePoint Now) {
+void ReplicaTable::adoptView(const View &Next, TimePoint Now) {
   State &S = *State_;
   if (Next.Number_ < S.View_.Number_ || Next == S.View_)
     return;
@@ -167,12 +167,13 @@
     S.refreshReadiness(Item, Now);
 }
 
-ReserveReply HomeTable::reserve(const ReserveRequest &Request, TimePoint Now) {
+ReserveReply ReplicaTable::reserve(const ReserveRequest &Request,
+                                   TimePoint Now) {
   State &S = *State_;
   BucketState &Item = S.Buckets_[bucketOf(Request.Name_).value()];
-  ReserveReply Reply{S.Self_, Request.Attempt_, ReserveResult::Fresh, {}};
+  ReserveReply Reply{S.Self_, Request.Attempt_, ReserveResult::Reserved, {}};
   if (Request.View_ != S.View_.Number_) {
-    Reply.Result_ = ReserveResult::OtherView;
+    Reply.Result_ = ReserveResult::ViewMismatch;
     return Reply;
   }
   const auto Found = Item.Records_.find(Request.Name_);
@@ -187,8 +188,8 @@
     Reply.Result_ = ReserveResult::NotReady;
     return Reply;
   }
-  if (Request.MintedAt_ < Item.BlindBefore_) {
-    Reply.Result_ = ReserveResult::Blind;
+  if (Request.MintedAt_ < Item.RecordsLostBefore_) {
+    Reply.Result_ = ReserveResult::RecordsLost;
     return Reply;
   }
   Record Made;
@@ -201,14 +202,14 @@
   return Reply;
 }
 
-void HomeTable::finish(const RecordName &Name, const Record &Final) {
+void ReplicaTable::finish(const RecordName &Name, const Record &Final) {
   BucketState &Item = State_->Buckets_[bucketOf(Name).value()];
   const auto [At, Added] = Item.Records_.try_emplace(Name, Final);
   if (!Added && At->second.Attempt_ == Final.Attempt_)
     merge(At->second, Final);
 }
 
-void HomeTable::abandon(const RecordName &Name, const AttemptId &Attempt) {
+void ReplicaTable::abandon(const RecordName &Name, const AttemptId &Attempt) {
   BucketState &Item = State_->Buckets_[bucketOf(Name).value()];
   const auto At = Item.Records_.find(Name);
   if (At != Item.Records_.end() && At->second.Attempt_ == Attempt &&
@@ -216,7 +217,7 @@
     Item.Records_.erase(At);
 }
 
-std::vector<CopyRequest> HomeTable::wantedCopies() const {
+std::vector<CopyRequest> ReplicaTable::missingCopies() const {
   const State &S = *State_;
   std::vector<CopyRequest> Result;
   for (std::uint32_t B = 0; B < BucketCount; ++B) {
@@ -231,7 +232,7 @@
   return Result;
 }
 
-CopyReply HomeTable::answerCopy(const CopyRequest &Request) const {
+CopyReply ReplicaTable::handleCopyRequest(const CopyRequest &Request) const {
   const State &S = *State_;
   const BucketState &Item = S.Buckets_[Request.Bucket_.value() % BucketCount];
   CopyReply Reply;
@@ -243,27 +244,28 @@
   if (S.View_.Number_ < Request.Since_)
     return Reply;
   if (Item.ReadyThrough_.next() < Request.Since_) {
-    Reply.Result_ = Item.Home_ ? CopyResult::NotYet : CopyResult::Never;
+    Reply.Result_ = Item.Home_ ? CopyResult::NotReady : CopyResult::Unavailable;
     return Reply;
   }
   Reply.Result_ = CopyResult::Copied;
-  Reply.BlindBefore_ = Item.BlindBefore_;
+  Reply.RecordsLostBefore_ = Item.RecordsLostBefore_;
   for (const auto &[Name, Value] : Item.Records_)
     Reply.Records_.push_back({Name, Value});
   return Reply;
 }
 
-void HomeTable::takeCopy(const CopyReply &Reply, TimePoint Now) {
+void ReplicaTable::applyCopyReply(const CopyReply &Reply, TimePoint Now) {
   State &S = *State_;
   BucketState &Item = S.Buckets_[Reply.Bucket_.value() % BucketCount];
   if (!Item.Home_ || Item.Ready_ || Reply.Since_ != Item.Needs_.Since_ ||
       !contains(Item.Needs_.Sources_, Reply.Source_))
     return;
-  if (Reply.Result_ == CopyResult::Never)
+  if (Reply.Result_ == CopyResult::Unavailable)
     Item.Needs_.Never_.insert(Reply.Source_);
   if (Reply.Result_ == CopyResult::Copied) {
     Item.Needs_.Copied_.insert(Reply.Source_);
-    Item.BlindBefore_ = std::max(Item.BlindBefore_, Reply.BlindBefore_);
+    Item.RecordsLostBefore_ =
+        std::max(Item.RecordsLostBefore_, Reply.RecordsLostBefore_);
     for (const NamedRecord &Row : Reply.Records_) {
       const auto [At, Added] =
           Item.Records_.try_emplace(Row.Name_, Row.Record_);
@@ -274,33 +276,33 @@
   S.refreshReadiness(Item, Now);
 }
 
-std::uint64_t HomeTable::bucketsToCopy() const {
+std::uint64_t ReplicaTable::bucketsToCopy() const {
   return std::count_if(
       State_->Buckets_.begin(), State_->Buckets_.end(),
       [](const BucketState &Item) { return Item.Home_ && !Item.Ready_; });
 }
 
-void HomeTable::tick(TimePoint Now) {
+void ReplicaTable::tick(TimePoint Now) {
   for (BucketState &Item : State_->Buckets_)
     std::erase_if(Item.Records_, [&](const auto &Row) {
       return Row.second.ForgetAfter_ < Now;
     });
 }
 
-ViewNumber HomeTable::view() const { return State_->View_.Number_; }
+ViewNumber ReplicaTable::view() const { return State_->View_.Number_; }
 
-std::size_t HomeTable::records() const {
+std::size_t ReplicaTable::records() const {
   std::size_t Count = 0;
   for (const BucketState &Item : State_->Buckets_)
     Count += Item.Records_.size();
   return Count;
 }
 
-std::size_t HomeTable::blindBuckets(TimePoint Now) const {
+std::size_t ReplicaTable::bucketsWithLostRecords(TimePoint Now) const {
   return std::count_if(State_->Buckets_.begin(), State_->Buckets_.end(),
                        [&](const BucketState &Item) {
                          return Item.Home_ &&
-                                Item.BlindBefore_ + KeyWindow > Now;
+                                Item.RecordsLostBefore_ + KeyWindow > Now;
                        });
 }
 
--- a/src/idempotency/internal/reservationtally.cpp
+++ b/src/idempotency/internal/reservationtally.cpp
@@ -25,20 +25,21 @@
                        [&](const auto &Item) { return Item.second == Result; });
 }
 
-Verdict ReservationTally::verdict(bool AllHeard) const {
+ReservationOutcome ReservationTally::outcome(bool AllHeard) const {
   if (Homes_.empty())
-    return Verdict::Retry;
+    return ReservationOutcome::Retry;
   const std::size_t Quorum = quorumOf(Homes_.size());
-  if (countOf(ReserveResult::Fresh) >= Quorum)
-    return Verdict::Granted;
+  if (countOf(ReserveResult::Reserved) >= Quorum)
+    return ReservationOutcome::Granted;
   const bool Found = countOf(ReserveResult::Duplicate) > 0;
   if (Found && Found_.State_ != RecordState::Reserved)
-    return Verdict::Duplicate;
+    return ReservationOutcome::Duplicate;
   if (!AllHeard && Replies_.size() < Homes_.size())
-    return Verdict::Open;
+    return ReservationOutcome::Pending;
   if (Found)
-    return Verdict::Duplicate;
-  return countOf(ReserveResult::Blind) > 0 ? Verdict::Unknown : Verdict::Retry;
+    return ReservationOutcome::Duplicate;
+  return countOf(ReserveResult::RecordsLost) > 0 ? ReservationOutcome::Unknown
+                                                 : ReservationOutcome::Retry;
 }
 
 } // namespace laburnumspread::idempotency
--- a/src/idempotency/hometable.h
+++ b/src/idempotency/replicatable.h
@@ -9,17 +9,17 @@
 /// The records that one entry keeps as a home of keys.
 ///
 /// A key has three homes in different zones (fewer if there are fewer zones).
-/// An attempt may dispatch once most of them have answered Fresh under one
+/// An attempt may dispatch once most of them have answered Reserved under one
 /// view. At every view at most one ready home lacks a dispatched key, so any
 /// two ready homes find it. A home is ready if it was one at the view before,
 /// or once it has copied the records from most of the homes of the view
 /// before, each of which was ready and had taken the new view, and so took no
 /// more reservations under the old one. Pure: no I/O, time is passed in.
-class HomeTable {
+class ReplicaTable {
 public:
-  explicit HomeTable(MemberId Self);
-  ~HomeTable();
-  HomeTable(HomeTable &&) noexcept;
+  explicit ReplicaTable(MemberId Self);
+  ~ReplicaTable();
+  ReplicaTable(ReplicaTable &&) noexcept;
 
   void adoptView(const membership::View &Next, TimePoint Now);
 
@@ -30,9 +30,9 @@
   void abandon(const RecordName &Name, const AttemptId &Attempt);
 
   /// Copies that are still wanted.
-  std::vector<CopyRequest> wantedCopies() const;
-  CopyReply answerCopy(const CopyRequest &Request) const;
-  void takeCopy(const CopyReply &Reply, TimePoint Now);
+  std::vector<CopyRequest> missingCopies() const;
+  CopyReply handleCopyRequest(const CopyRequest &Request) const;
+  void applyCopyReply(const CopyReply &Reply, TimePoint Now);
   std::uint64_t bucketsToCopy() const;
 
   /// Forgets records whose keys are refused by now.
@@ -42,7 +42,7 @@
   std::size_t records() const;
   /// Buckets of which this entry is a ready home that has lost records of
   /// earlier keys.
-  std::size_t blindBuckets(TimePoint Now) const;
+  std::size_t bucketsWithLostRecords(TimePoint Now) const;
 
 private:
   struct State;
@@ -50,6 +50,6 @@
 };
 
 /// The homes of a bucket at a view.
-std::vector<MemberId> homesOf(const membership::View &Current, Bucket Of);
+std::vector<MemberId> replicasOf(const membership::View &Current, Bucket Of);
 
 } // namespace laburnumspread::idempotency
--- a/src/idempotency/reservationtally.h
+++ b/src/idempotency/reservationtally.h
@@ -6,10 +6,10 @@
 
 namespace laburnumspread::idempotency {
 
-enum class Verdict {
+enum class ReservationOutcome {
   /// More replies are needed.
-  Open,
-  /// Most homes answered Fresh: the request may be dispatched.
+  Pending,
+  /// Most homes answered Reserved: the request may be dispatched.
   Granted,
   /// Another attempt has the key; see found().
   Duplicate,
@@ -29,8 +29,8 @@
   void add(const ReserveReply &Reply);
 
   /// The verdict so far, or, once \p AllHeard (no more replies will be waited
-  /// for), the final one, which is never Open.
-  Verdict verdict(bool AllHeard) const;
+  /// for), the final one, which is never Pending.
+  ReservationOutcome outcome(bool AllHeard) const;
   const Record &found() const { return Found_; }
 
 private:
--- a/src/idempotency/tests/homemodeltest.cpp
+++ b/src/idempotency/tests/replicamodeltest.cpp
@@ -1,4 +1,4 @@
-#include "idempotency/hometable.h"
+#include "idempotency/replicatable.h"
 
 #include "idempotency/reservationtally.h"
 #include "membership/viewchanges.h"
@@ -34,11 +34,11 @@
 
 struct Entry {
   explicit Entry(Member Self)
-      : Self_(std::move(Self)), Homes_(std::make_unique<HomeTable>(Self_.Id_)) {
-  }
+      : Self_(std::move(Self)),
+        Homes_(std::make_unique<ReplicaTable>(Self_.Id_)) {}
   Member Self_;
   View View_;
-  std::unique_ptr<HomeTable> Homes_;
+  std::unique_ptr<ReplicaTable> Homes_;
   std::vector<Attempt> Attempts_;
   bool Paused_ = false;
 };
@@ -173,7 +173,7 @@
     Request.Attempt_ = {One.Self_.Id_, ++NextAttempt_};
     Request.View_ = One.View_.Number_;
     Request.LeaseUntil_ = Now_ + 5s;
-    const auto Homes = homesOf(One.View_, bucketOf(Request.Name_));
+    const auto Homes = replicasOf(One.View_, bucketOf(Request.Name_));
     One.Attempts_.push_back({Request.Name_, Request.Attempt_,
                              ReservationTally(Request.Attempt_, Homes)});
     for (const MemberId &Home : Homes) {
@@ -185,7 +185,7 @@
   }
 
   void askForCopies(Entry &One) {
-    for (const CopyRequest &Wanted : One.Homes_->wantedCopies()) {
+    for (const CopyRequest &Wanted : One.Homes_->missingCopies()) {
       if (below(4) == 0)
         continue;
       Message Out;
@@ -207,15 +207,16 @@
     for (Attempt &Item : One.Attempts_) {
       if (Item.Over_)
         continue;
-      const Verdict Said = Item.Tally_.verdict(Final && below(2) == 0);
-      if (Said == Verdict::Open)
+      const ReservationOutcome Said =
+          Item.Tally_.outcome(Final && below(2) == 0);
+      if (Said == ReservationOutcome::Pending)
         continue;
       Item.Over_ = true;
-      if (Said == Verdict::Granted) {
+      if (Said == ReservationOutcome::Granted) {
         DispatchedTwice_ |= !Dispatched_.insert(Item.Name_).second;
         continue;
       }
-      for (const MemberId &Home : homesOf(One.View_, bucketOf(Item.Name_))) {
+      for (const MemberId &Home : replicasOf(One.View_, bucketOf(Item.Name_))) {
         Message Out;
         Out.To_ = Home;
         Out.AbandonName_ = Item.Name_;
@@ -256,11 +257,11 @@
     if (Item.Copy_) {
       Message Out;
       Out.To_ = Item.Copy_->From_;
-      Out.Copied_ = To.Homes_->answerCopy(*Item.Copy_);
+      Out.Copied_ = To.Homes_->handleCopyRequest(*Item.Copy_);
       Copies_.push_back(std::move(Out));
     }
     if (Item.Copied_)
-      To.Homes_->takeCopy(*Item.Copied_, Now_);
+      To.Homes_->applyCopyReply(*Item.Copied_, Now_);
     if (Item.AbandonName_)
       To.Homes_->abandon(*Item.AbandonName_, Item.Abandon_);
   }
--- a/src/idempotency/tests/hometabletest.cpp
+++ b/src/idempotency/tests/replicatabletest.cpp
@@ -1,4 +1,4 @@
-#include "idempotency/hometable.h"
+#include "idempotency/replicatable.h"
 
 #include "membership/viewchanges.h"
 
@@ -28,8 +28,8 @@
   return Result;
 }
 
-HomeTable tableAt(const View &Current, const Member &Self) {
-  HomeTable Table(Self.Id_);
+ReplicaTable tableAt(const View &Current, const Member &Self) {
+  ReplicaTable Table(Self.Id_);
   Table.adoptView(Current, Start);
   return Table;
 }
@@ -47,13 +47,13 @@
 } // namespace
 
 BOOST_AUTO_TEST_CASE(UuidOfVersionSevenOnly) {
-  const auto Key = parseRequestKey("019AE2B4-5E00-7abc-8def-0123456789ab");
+  const auto Key = parseIdempotencyKey("019AE2B4-5E00-7abc-8def-0123456789ab");
   BOOST_REQUIRE(Key.has_value());
   BOOST_TEST(laburnumspread::framework::clock::toMillis(Key->MintedAt_) ==
              0x019ae2b45e00);
-  BOOST_TEST(!parseRequestKey("019ae2b4-5e00-4abc-8def-0123456789ab"));
-  BOOST_TEST(!parseRequestKey("019ae2b4-5e00-7abc-cdef-0123456789ab"));
-  BOOST_TEST(!parseRequestKey("019ae2b45e007abc8def0123456789ab"));
+  BOOST_TEST(!parseIdempotencyKey("019ae2b4-5e00-4abc-8def-0123456789ab"));
+  BOOST_TEST(!parseIdempotencyKey("019ae2b4-5e00-7abc-cdef-0123456789ab"));
+  BOOST_TEST(!parseIdempotencyKey("019ae2b45e007abc8def0123456789ab"));
   BOOST_TEST((ageOf(*Key, Key->MintedAt_ + KeyWindow) == KeyAge::Usable));
   BOOST_TEST((ageOf(*Key, Key->MintedAt_ + KeyWindow + 1us) == KeyAge::TooOld));
   BOOST_TEST((ageOf(*Key, Key->MintedAt_ - 1s) == KeyAge::FromTheFuture));
@@ -61,16 +61,16 @@
 
 BOOST_AUTO_TEST_CASE(SecondAttemptFindsTheFirst) {
   const View Current = viewOfThreeZones();
-  HomeTable A = tableAt(Current, Current.Members_[0]);
+  ReplicaTable A = tableAt(Current, Current.Members_[0]);
   const ReserveRequest First = requestAt(Current, "a");
-  BOOST_TEST((A.reserve(First, Start).Result_ == ReserveResult::Fresh));
-  BOOST_TEST((A.reserve(First, Start).Result_ == ReserveResult::Fresh));
+  BOOST_TEST((A.reserve(First, Start).Result_ == ReserveResult::Reserved));
+  BOOST_TEST((A.reserve(First, Start).Result_ == ReserveResult::Reserved));
   const ReserveRequest Second = requestAt(Current, "b");
   BOOST_TEST((A.reserve(Second, Start).Result_ == ReserveResult::Duplicate));
   A.abandon(Name, Second.Attempt_);
   BOOST_TEST((A.reserve(Second, Start).Result_ == ReserveResult::Duplicate));
   A.abandon(Name, First.Attempt_);
-  BOOST_TEST((A.reserve(Second, Start).Result_ == ReserveResult::Fresh));
+  BOOST_TEST((A.reserve(Second, Start).Result_ == ReserveResult::Reserved));
 }
 
 // A home in the caller's zone is replaced by an entry that has just joined and
@@ -78,7 +78,7 @@
 // home that was hung it would make a majority that has never seen the order.
 BOOST_AUTO_TEST_CASE(NewHomeVotesOnlyAfterCopyingFromAMajority) {
   const View First = viewOfThreeZones();
-  std::vector<HomeTable> Old;
+  std::vector<ReplicaTable> Old;
   for (const Member &Item : First.Members_)
     Old.push_back(tableAt(First, Item));
   // The order was reserved at a and b; c was hung.
@@ -86,22 +86,22 @@
   Old[1].reserve(requestAt(First, "x"), Start);
   const View Second = *withRemoved(First, First.Members_[0].Id_, Start);
   const View Third = *withJoined(Second, memberNamed("d", "z1"));
-  HomeTable D = tableAt(Third, Third.Members_.back());
+  ReplicaTable D = tableAt(Third, Third.Members_.back());
   const ReserveRequest Again = requestAt(Third, "y");
   BOOST_TEST((D.reserve(Again, Start).Result_ == ReserveResult::NotReady));
   // c has not taken the view: it may still reserve keys under the old one.
-  for (const CopyRequest &Wanted : D.wantedCopies())
+  for (const CopyRequest &Wanted : D.missingCopies())
     if (Wanted.Source_ == First.Members_[2].Id_)
-      D.takeCopy(Old[2].answerCopy(Wanted), Start);
+      D.applyCopyReply(Old[2].handleCopyRequest(Wanted), Start);
   BOOST_TEST((D.reserve(Again, Start).Result_ == ReserveResult::NotReady));
   for (int Round = 0; Round < 3; ++Round)
     for (int I : {1, 2}) {
       Old[I].adoptView(Third, Start);
-      for (const CopyRequest &Wanted : Old[I].wantedCopies())
-        Old[I].takeCopy(Old[3 - I].answerCopy(Wanted), Start);
-      for (const CopyRequest &Wanted : D.wantedCopies())
-        if (Wanted.Source_ == Old[I].answerCopy(Wanted).Source_)
-          D.takeCopy(Old[I].answerCopy(Wanted), Start);
+      for (const CopyRequest &Wanted : Old[I].missingCopies())
+        Old[I].applyCopyReply(Old[3 - I].handleCopyRequest(Wanted), Start);
+      for (const CopyRequest &Wanted : D.missingCopies())
+        if (Wanted.Source_ == Old[I].handleCopyRequest(Wanted).Source_)
+          D.applyCopyReply(Old[I].handleCopyRequest(Wanted), Start);
     }
   BOOST_TEST(D.bucketsToCopy() == 0u);
   BOOST_TEST((D.reserve(Again, Start).Result_ == ReserveResult::Duplicate));
@@ -114,19 +114,21 @@
 // after the loss work.
 BOOST_AUTO_TEST_CASE(LossOfAMajorityMakesOlderKeysUnknown) {
   const View First = viewOfThreeZones();
-  HomeTable C = tableAt(First, First.Members_[2]);
+  ReplicaTable C = tableAt(First, First.Members_[2]);
   View Later = *withRemoved(First, First.Members_[0].Id_, Start);
   Later = *withRemoved(Later, First.Members_[1].Id_, Start);
   C.adoptView(Later, Start + 10s);
   ReserveRequest Again = requestAt(Later, "x");
-  BOOST_TEST((C.reserve(Again, Start + 10s).Result_ == ReserveResult::Blind));
+  BOOST_TEST(
+      (C.reserve(Again, Start + 10s).Result_ == ReserveResult::RecordsLost));
   Again.MintedAt_ = Start + 11s;
-  BOOST_TEST((C.reserve(Again, Start + 11s).Result_ == ReserveResult::Fresh));
+  BOOST_TEST(
+      (C.reserve(Again, Start + 11s).Result_ == ReserveResult::Reserved));
 }
 
 BOOST_AUTO_TEST_CASE(RecordOutlivesItsKey) {
   const View Current = viewOfThreeZones();
-  HomeTable A = tableAt(Current, Current.Members_[0]);
+  ReplicaTable A = tableAt(Current, Current.Members_[0]);
   A.reserve(requestAt(Current, "x"), Start);
   A.tick(Start + KeyWindow + 500ms);
   BOOST_TEST(A.records() == 1u);
@@ -138,13 +140,13 @@
 // have handed the key's bucket on, or not have it yet, so it must not vote.
 BOOST_AUTO_TEST_CASE(HomeAtAnotherViewDoesNotVote) {
   const View First = viewOfThreeZones();
-  HomeTable A = tableAt(First, First.Members_[0]);
+  ReplicaTable A = tableAt(First, First.Members_[0]);
   ReserveRequest Early = requestAt(First, "x");
   Early.View_ = ViewNumber(2);
-  BOOST_TEST((A.reserve(Early, Start).Result_ == ReserveResult::OtherView));
+  BOOST_TEST((A.reserve(Early, Start).Result_ == ReserveResult::ViewMismatch));
   A.adoptView(*withLeaving(First, First.Members_[2].Id_), Start);
   BOOST_TEST((A.reserve(requestAt(First, "x"), Start).Result_ ==
-              ReserveResult::OtherView));
+              ReserveResult::ViewMismatch));
   BOOST_TEST(A.records() == 0u);
 }
 
@@ -153,12 +155,12 @@
 BOOST_AUTO_TEST_CASE(CopyIsGivenOnlyAfterTheNewViewIsTaken) {
   const View First = viewOfThreeZones();
   const View Second = *withRemoved(First, First.Members_[0].Id_, Start);
-  HomeTable B = tableAt(First, First.Members_[1]);
+  ReplicaTable B = tableAt(First, First.Members_[1]);
   const CopyRequest Asked{First.Members_[2].Id_, First.Members_[1].Id_,
                           bucketOf(Name), Second.Number_};
-  BOOST_TEST((B.answerCopy(Asked).Result_ == CopyResult::NotYet));
+  BOOST_TEST((B.handleCopyRequest(Asked).Result_ == CopyResult::NotReady));
   B.adoptView(Second, Start);
-  BOOST_TEST((B.answerCopy(Asked).Result_ == CopyResult::Copied));
+  BOOST_TEST((B.handleCopyRequest(Asked).Result_ == CopyResult::Copied));
 }
 
 // An entry that has joined but not copied anything is asked for records by the
@@ -166,14 +168,14 @@
 BOOST_AUTO_TEST_CASE(UnreadyHomeIsNoSource) {
   const View First = viewOfThreeZones();
   const View Second = *withJoined(First, memberNamed("d", "z4"));
-  HomeTable D = tableAt(Second, Second.Members_.back());
-  const auto Wanted = D.wantedCopies();
+  ReplicaTable D = tableAt(Second, Second.Members_.back());
+  const auto Wanted = D.missingCopies();
   BOOST_REQUIRE(!Wanted.empty());
   CopyRequest Asked = Wanted[0];
   Asked.From_ = First.Members_[0].Id_;
   Asked.Since_ = Second.Number_.next();
   D.adoptView(*withLeaving(Second, First.Members_[0].Id_), Start);
-  BOOST_TEST((D.answerCopy(Asked).Result_ == CopyResult::NotYet));
+  BOOST_TEST((D.handleCopyRequest(Asked).Result_ == CopyResult::NotReady));
 }
 
 // Records were lost once. A home that copies from one that knows of the loss
@@ -182,14 +184,14 @@
   const View First = viewOfThreeZones();
   View Lost = *withRemoved(First, First.Members_[0].Id_, Start);
   Lost = *withRemoved(Lost, First.Members_[1].Id_, Start);
-  HomeTable C = tableAt(First, First.Members_[2]);
+  ReplicaTable C = tableAt(First, First.Members_[2]);
   C.adoptView(Lost, Start + 10s);
   const View Joined = *withJoined(asSettled(Lost), memberNamed("d", "z1"));
   C.adoptView(Joined, Start + 10s);
-  HomeTable D = tableAt(Joined, Joined.Members_.back());
-  for (const CopyRequest &Wanted : D.wantedCopies())
-    D.takeCopy(C.answerCopy(Wanted), Start + 10s);
+  ReplicaTable D = tableAt(Joined, Joined.Members_.back());
+  for (const CopyRequest &Wanted : D.missingCopies())
+    D.applyCopyReply(C.handleCopyRequest(Wanted), Start + 10s);
   BOOST_TEST(D.bucketsToCopy() == 0u);
   BOOST_TEST((D.reserve(requestAt(Joined, "x"), Start + 10s).Result_ ==
-              ReserveResult::Blind));
+              ReserveResult::RecordsLost));
 }
--- a/src/idempotency/tests/reservationtallytest.cpp
+++ b/src/idempotency/tests/reservationtallytest.cpp
@@ -28,36 +28,36 @@
 
 BOOST_AUTO_TEST_CASE(TwoOfThreeFreshGrant) {
   ReservationTally Tally = tallyOfThree();
-  Tally.add(replyOf("x", ReserveResult::Fresh));
-  BOOST_TEST((Tally.verdict(false) == Verdict::Open));
-  Tally.add(replyOf("x", ReserveResult::Fresh));
-  BOOST_TEST((Tally.verdict(false) == Verdict::Open));
-  Tally.add(replyOf("z", ReserveResult::Fresh));
-  BOOST_TEST((Tally.verdict(false) == Verdict::Granted));
+  Tally.add(replyOf("x", ReserveResult::Reserved));
+  BOOST_TEST((Tally.outcome(false) == ReservationOutcome::Pending));
+  Tally.add(replyOf("x", ReserveResult::Reserved));
+  BOOST_TEST((Tally.outcome(false) == ReservationOutcome::Pending));
+  Tally.add(replyOf("z", ReserveResult::Reserved));
+  BOOST_TEST((Tally.outcome(false) == ReservationOutcome::Granted));
 }
 
 BOOST_AUTO_TEST_CASE(RepliesOfOthersCountForNothing) {
   ReservationTally Tally = tallyOfThree();
-  Tally.add(replyOf("w", ReserveResult::Fresh));
-  ReserveReply Late = replyOf("x", ReserveResult::Fresh);
+  Tally.add(replyOf("w", ReserveResult::Reserved));
+  ReserveReply Late = replyOf("x", ReserveResult::Reserved);
   Late.Attempt_ = Other;
   Tally.add(Late);
-  BOOST_TEST((Tally.verdict(true) == Verdict::Retry));
+  BOOST_TEST((Tally.outcome(true) == ReservationOutcome::Retry));
 }
 
 BOOST_AUTO_TEST_CASE(FinalRecordAnswersAtOnceAndWinsOverAReservation) {
   ReservationTally Tally = tallyOfThree();
   Tally.add(replyOf("x", ReserveResult::Duplicate));
-  BOOST_TEST((Tally.verdict(false) == Verdict::Open));
+  BOOST_TEST((Tally.outcome(false) == ReservationOutcome::Pending));
   Tally.add(replyOf("y", ReserveResult::Duplicate, RecordState::Ran));
-  BOOST_TEST((Tally.verdict(false) == Verdict::Duplicate));
+  BOOST_TEST((Tally.outcome(false) == ReservationOutcome::Duplicate));
   BOOST_TEST((Tally.found().State_ == RecordState::Ran));
 }
 
 BOOST_AUTO_TEST_CASE(LostRecordsMakeItUnknownNotFresh) {
   ReservationTally Tally = tallyOfThree();
-  Tally.add(replyOf("x", ReserveResult::Fresh));
-  Tally.add(replyOf("y", ReserveResult::Blind));
-  Tally.add(replyOf("z", ReserveResult::Blind));
-  BOOST_TEST((Tally.verdict(false) == Verdict::Unknown));
+  Tally.add(replyOf("x", ReserveResult::Reserved));
+  Tally.add(replyOf("y", ReserveResult::RecordsLost));
+  Tally.add(replyOf("z", ReserveResult::RecordsLost));
+  BOOST_TEST((Tally.outcome(false) == ReservationOutcome::Unknown));
 }
--- a/src/limits/internal/unitledger.cpp
+++ b/src/limits/internal/unitledger.cpp
@@ -43,7 +43,7 @@
   std::vector<Ownership> Past_;
   Ownership Present_{std::span<const Owner>()};
   /// Statements heard at the present view, by speaker.
-  std::map<MemberId, std::set<HeldUnit>> Heard_;
+  std::map<MemberId, std::set<HeldUnit>> ReleaseStatements_;
   std::map<std::uint64_t, LentUnit> Lent_;
   /// Subjects with loans of others. Few at any time, while the subjects are
   /// tens of thousands at the design size and upkeep comes twenty times a
@@ -52,7 +52,7 @@
   std::uint64_t NextLoan_ = 1;
   /// Loans that were given back, kept until they are dead: a copy of the grant
   /// that arrives late must not bring one back to life.
-  std::map<LoanId, TimePoint> GivenBack_;
+  std::map<LoanId, TimePoint> ReturnedLoans_;
   TimePoint Now_{};
 
   static const Block *findBlock(const Subject &In, std::uint32_t Index) {
@@ -68,11 +68,11 @@
   /// Whether an earlier owner no longer has any right to the block.
   bool hasReleased(const MemberId &Earlier, const Subject &Of,
                    std::uint32_t Index) const {
-    for (const membership::Departed &Gone : View_.Departed_)
+    for (const membership::DepartedMember &Gone : View_.Departed_)
       if (Gone.Id_ == Earlier)
         return Gone.ReusableAfter_ < Now_;
-    const auto Said = Heard_.find(Earlier);
-    if (Said == Heard_.end())
+    const auto Said = ReleaseStatements_.find(Earlier);
+    if (Said == ReleaseStatements_.end())
       return false;
     const auto Held = Said->second.lower_bound({Of.Name_, Unit(0)});
     for (auto It = Held; It != Said->second.end() && It->Subject_ == Of.Name_;
@@ -159,7 +159,7 @@
     std::erase_if(From.Borrowed_, [&](const BorrowedUnit &Item) {
       if (Item.InUse_ || !Want(Item))
         return false;
-      GivenBack_[Item.Loan_.Id_] = Item.Loan_.Until_;
+      ReturnedLoans_[Item.Loan_.Id_] = Item.Loan_.Until_;
       Taken.push_back(Item.Loan_.Id_);
       return true;
     });
@@ -185,7 +185,7 @@
       });
       return Loans.empty();
     });
-    std::erase_if(GivenBack_, [&](const auto &Item) {
+    std::erase_if(ReturnedLoans_, [&](const auto &Item) {
       return Item.second + ClockSkewMargin < Now_;
     });
   }
@@ -202,7 +202,7 @@
   if (Next.Number_ < S.View_.Number_ || Next == S.View_)
     return;
   if (Next.Number_ != S.View_.Number_)
-    S.Heard_.clear();
+    S.ReleaseStatements_.clear();
   S.View_ = Next;
   S.Present_ = Ownership(Next.owners());
   S.Past_.clear();
@@ -278,7 +278,7 @@
                      });
 }
 
-std::uint32_t UnitLedger::freeOwned(SubjectIndex Index) const {
+std::uint32_t UnitLedger::freeOwnedUnits(SubjectIndex Index) const {
   const Subject &From = State_->Subjects_[Index.value()];
   std::uint32_t Free = 0;
   for (const Block &Item : From.Blocks_) {
@@ -289,9 +289,9 @@
   return Free;
 }
 
-std::uint32_t UnitLedger::idle(SubjectIndex Index) const {
+std::uint32_t UnitLedger::idleUnits(SubjectIndex Index) const {
   const auto &Borrowed = State_->Subjects_[Index.value()].Borrowed_;
-  return freeOwned(Index) +
+  return freeOwnedUnits(Index) +
          static_cast<std::uint32_t>(std::count_if(
              Borrowed.begin(), Borrowed.end(),
              [](const BorrowedUnit &Item) { return !Item.InUse_; }));
@@ -313,7 +313,7 @@
   return Loans;
 }
 
-void UnitLedger::returned(const LoanId &Id) {
+void UnitLedger::acceptReturn(const LoanId &Id) {
   State &S = *State_;
   if (Id.Lender_ != S.Self_)
     return;
@@ -324,11 +324,11 @@
   S.Lent_.erase(At);
 }
 
-void UnitLedger::receive(const Loan &Granted, TimePoint Now) {
+void UnitLedger::acceptLoan(const Loan &Granted, TimePoint Now) {
   State &S = *State_;
   const auto Index = S.Index_.find(Granted.Subject_);
   if (Index == S.Index_.end() || Granted.Until_ <= Now ||
-      S.GivenBack_.contains(Granted.Id_))
+      S.ReturnedLoans_.contains(Granted.Id_))
     return;
   Subject &Into = S.Subjects_[Index->second];
   const bool Known = std::any_of(
@@ -340,7 +340,7 @@
   S.Borrowing_.insert(Index->second);
 }
 
-std::vector<LoanId> UnitLedger::takeIdleLoans(TimePoint IdleSince) {
+std::vector<LoanId> UnitLedger::removeIdleLoans(TimePoint IdleSince) {
   std::vector<LoanId> All;
   for (std::uint32_t Index : State_->Borrowing_) {
     Subject &From = State_->Subjects_[Index];
@@ -352,12 +352,12 @@
   return All;
 }
 
-std::vector<LoanId> UnitLedger::takeAllIdleLoans(SubjectIndex Index) {
+std::vector<LoanId> UnitLedger::removeAllIdleLoans(SubjectIndex Index) {
   return State_->takeLoans(State_->Subjects_[Index.value()],
                            [](const BorrowedUnit &) { return true; });
 }
 
-ReleaseStatement UnitLedger::statement() const {
+ReleaseStatement UnitLedger::releaseStatement() const {
   ReleaseStatement Result{State_->Self_, State_->View_.Number_, {}};
   for (const Subject &Of : State_->Subjects_)
     for (const UsedUnit &Used : Of.Used_)
@@ -367,15 +367,15 @@
   return Result;
 }
 
-void UnitLedger::hear(const ReleaseStatement &Heard) {
+void UnitLedger::applyReleaseStatement(const ReleaseStatement &Heard) {
   State &S = *State_;
   if (Heard.View_ != S.View_.Number_ || Heard.From_ == S.Self_)
     return;
   std::set<HeldUnit> Held(Heard.StillHeld_.begin(), Heard.StillHeld_.end());
-  const auto Before = S.Heard_.find(Heard.From_);
-  if (Before != S.Heard_.end() && Before->second == Held)
+  const auto Before = S.ReleaseStatements_.find(Heard.From_);
+  if (Before != S.ReleaseStatements_.end() && Before->second == Held)
     return;
-  S.Heard_[Heard.From_] = std::move(Held);
+  S.ReleaseStatements_[Heard.From_] = std::move(Held);
   S.recheckBlocked();
 }
 
@@ -426,13 +426,15 @@
   return Result;
 }
 
-std::size_t UnitLedger::subjects() const { return State_->Subjects_.size(); }
+std::size_t UnitLedger::subjectCount() const {
+  return State_->Subjects_.size();
+}
 
 const SubjectName &UnitLedger::nameOf(SubjectIndex Index) const {
   return State_->Subjects_[Index.value()].Name_;
 }
 
-std::uint32_t UnitLedger::busy(SubjectIndex Index) const {
+std::uint32_t UnitLedger::busyUnits(SubjectIndex Index) const {
   return static_cast<std::uint32_t>(
       State_->Subjects_[Index.value()].Used_.size());
 }
--- a/src/limits/tests/unitledgermodeltest.cpp
+++ b/src/limits/tests/unitledgermodeltest.cpp
@@ -157,7 +157,8 @@
     std::vector<MemberProgress> Progress;
     for (const auto &Item : Entries_)
       Progress.push_back({Item->Self_.Id_, Item->Ledger_.view(),
-                          Item->Ledger_.statement().StillHeld_.size(), 0});
+                          Item->Ledger_.releaseStatement().StillHeld_.size(),
+                          0});
     if (canSettle(View_, Progress, Now_))
       View_ = asSettled(View_);
   }
@@ -204,7 +205,7 @@
     Out.To_ = Entries_[To]->Self_.Id_;
     switch (below(3)) {
     case 0:
-      Out.Statement_ = One.Ledger_.statement();
+      Out.Statement_ = One.Ledger_.releaseStatement();
       break;
     case 1: {
       const auto Loans =
@@ -216,7 +217,7 @@
       break;
     }
     default:
-      for (const LoanId &Id : One.Ledger_.takeIdleLoans(Now_))
+      for (const LoanId &Id : One.Ledger_.removeIdleLoans(Now_))
         Network_.push_back({Id.Lender_, {}, {}, Id});
       return;
     }
@@ -239,11 +240,11 @@
       return;
     UnitLedger &Ledger = (*To)->Ledger_;
     if (Item.Statement_)
-      Ledger.hear(*Item.Statement_);
+      Ledger.applyReleaseStatement(*Item.Statement_);
     if (Item.Loan_)
-      Ledger.receive(*Item.Loan_, Now_);
+      Ledger.acceptLoan(*Item.Loan_, Now_);
     if (Item.Return_)
-      Ledger.returned(*Item.Return_);
+      Ledger.acceptReturn(*Item.Return_);
   }
 
   std::mt19937_64 Random_;
--- a/src/limits/tests/unitledgertest.cpp
+++ b/src/limits/tests/unitledgertest.cpp
@@ -70,14 +70,14 @@
   BOOST_TEST(B.counts(Index).Owned_ > 0u);
   BOOST_TEST(takeAll(B).empty());
   // A statement that was given before the join says nothing of it.
-  B.hear(A.statement());
+  B.applyReleaseStatement(A.releaseStatement());
   BOOST_TEST(takeAll(B).empty());
   A.adoptView(Second, Start);
-  B.hear(A.statement());
+  B.applyReleaseStatement(A.releaseStatement());
   BOOST_TEST(takeAll(B).empty());
   for (const Permit &Held : Running)
     A.release(Held);
-  B.hear(A.statement());
+  B.applyReleaseStatement(A.releaseStatement());
   BOOST_TEST(takeAll(B).size() == B.counts(Index).Owned_);
   BOOST_TEST(takeAll(A).size() + B.counts(Index).Owned_ == 20u);
 }
@@ -105,7 +105,7 @@
   const SubjectIndex Index = *A.find(Team);
   const auto Loans = A.lend(Index, memberNamed("b").Id_, 1, Start + 5s);
   BOOST_REQUIRE(Loans.size() == 1u);
-  B.receive(Loans[0], Start);
+  B.acceptLoan(Loans[0], Start);
   takeAll(A);
   takeAll(B);
   A.tick(Start + 5s + 400ms);
@@ -123,12 +123,12 @@
   UnitLedger B = ledgerAt(Current, "b", 20);
   takeAll(B);
   const auto Loans = A.lend(*A.find(Team), memberNamed("b").Id_, 1, Start + 5s);
-  B.receive(Loans[0], Start);
-  B.receive(Loans[0], Start);
+  B.acceptLoan(Loans[0], Start);
+  B.acceptLoan(Loans[0], Start);
   BOOST_TEST(B.counts(*B.find(Team)).Borrowed_ == 1u);
-  for (const LoanId &Id : B.takeIdleLoans(Start))
-    A.returned(Id);
-  B.receive(Loans[0], Start);
+  for (const LoanId &Id : B.removeIdleLoans(Start))
+    A.acceptReturn(Id);
+  B.acceptLoan(Loans[0], Start);
   BOOST_TEST(B.counts(*B.find(Team)).Borrowed_ == 0u);
   BOOST_TEST(A.counts(*A.find(Team)).Lent_ == 0u);
 }
@@ -139,7 +139,7 @@
   UnitLedger B = ledgerAt(Current, "b", 20);
   for (const Loan &Item :
        A.lend(*A.find(Team), memberNamed("b").Id_, 20, Start + 20s))
-    B.receive(Item, Start);
+    B.acceptLoan(Item, Start);
   B.setLimit(Team, 3);
   A.setLimit(Team, 3);
   BOOST_TEST(takeAll(B).size() <= 3u);
@@ -157,7 +157,7 @@
   const View Second = *withJoined(First, memberNamed("c"));
   A.adoptView(Second, Start);
   B.adoptView(Second, Start);
-  B.hear(A.statement());
+  B.applyReleaseStatement(A.releaseStatement());
   const std::size_t RunningAtA = takeAll(A).size();
   BOOST_REQUIRE(RunningAtA > 0u);
   const View Third = *withLeaving(Second, memberNamed("a").Id_);
@@ -165,6 +165,6 @@
   const auto Counts = B.counts(*B.find(Team));
   BOOST_TEST(Counts.Available_ < Counts.Owned_);
   A.adoptView(Third, Start);
-  B.hear(A.statement());
+  B.applyReleaseStatement(A.releaseStatement());
   BOOST_TEST(B.counts(*B.find(Team)).Available_ < Counts.Owned_);
 }
--- a/src/limits/unitledger.h
+++ b/src/limits/unitledger.h
@@ -39,32 +39,32 @@
   /// Whether acquire() would give a permit.
   bool hasFree(SubjectIndex Subject, TimePoint Until, TimePoint Now) const;
   /// Own units that are neither used nor lent.
-  std::uint32_t freeOwned(SubjectIndex Subject) const;
+  std::uint32_t freeOwnedUnits(SubjectIndex Subject) const;
 
-  /// As freeOwned(), with idle borrowed units.
-  std::uint32_t idle(SubjectIndex Subject) const;
+  /// As freeOwnedUnits(), with idle borrowed units.
+  std::uint32_t idleUnits(SubjectIndex Subject) const;
 
   /// Lends up to \p Count free units. They count as used until they are
   /// returned or \p Until and the clock skew margin have passed.
   std::vector<Loan> lend(SubjectIndex Subject, const MemberId &Borrower,
                          std::uint32_t Count, TimePoint Until);
   /// A borrower gives a loan back. Unknown loans are left aside.
-  void returned(const LoanId &Loan);
+  void acceptReturn(const LoanId &Loan);
 
   /// A loan has arrived. Dead, repeated and already returned ones are left
   /// aside.
-  void receive(const Loan &Granted, TimePoint Now);
+  void acceptLoan(const Loan &Granted, TimePoint Now);
   /// Takes out idle loans that nobody has used since \p IdleSince, to be
   /// returned to their lenders.
-  std::vector<LoanId> takeIdleLoans(TimePoint IdleSince);
+  std::vector<LoanId> removeIdleLoans(TimePoint IdleSince);
   /// Takes out one idle loan of a subject, whatever its age.
-  std::vector<LoanId> takeAllIdleLoans(SubjectIndex Subject);
+  std::vector<LoanId> removeAllIdleLoans(SubjectIndex Subject);
 
   /// What this entry says at its present view.
-  ReleaseStatement statement() const;
+  ReleaseStatement releaseStatement() const;
   /// Another member's statement. Only one given at this entry's own view
   /// counts: one of an earlier view knows nothing of later moves.
-  void hear(const ReleaseStatement &Heard);
+  void applyReleaseStatement(const ReleaseStatement &Heard);
 
   /// Ends loans and waits that have run out.
   void tick(TimePoint Now);
@@ -74,10 +74,10 @@
 
   ViewNumber view() const;
   SubjectCounts counts(SubjectIndex Subject) const;
-  std::size_t subjects() const;
+  std::size_t subjectCount() const;
   const SubjectName &nameOf(SubjectIndex Subject) const;
   /// Units in use or lent on a subject, whoever owns them now.
-  std::uint32_t busy(SubjectIndex Subject) const;
+  std::uint32_t busyUnits(SubjectIndex Subject) const;
   /// All units in use by this entry with its own or borrowed right, for the
   /// invariant "no unit is held twice".
   std::vector<HeldUnit> unitsInUse() const;
--- a/src/maintenance/internal/availability.cpp
+++ b/src/maintenance/internal/disruptionbudgets.cpp
@@ -1,4 +1,4 @@
-#include "maintenance/availability.h"
+#include "maintenance/disruptionbudgets.h"
 
 namespace laburnumspread::maintenance {
 
@@ -8,22 +8,26 @@
          Row != List.end() && Row->second.Live_;
 }
 
-Availability::Place Availability::poolPlace(const fleet::Vm &Vm) {
+DisruptionBudgets::BudgetScope
+DisruptionBudgets::poolScope(const fleet::Vm &Vm) {
   return {fleet::poolOf(Vm).str(), "", ""};
 }
-Availability::Place Availability::zonePlace(const fleet::Vm &Vm) {
+DisruptionBudgets::BudgetScope
+DisruptionBudgets::zoneScope(const fleet::Vm &Vm) {
   return {fleet::poolOf(Vm).str(), Vm.Spec_.Zone_.str(), "zone"};
 }
-Availability::Place Availability::rackPlace(const fleet::Vm &Vm) {
+DisruptionBudgets::BudgetScope
+DisruptionBudgets::rackScope(const fleet::Vm &Vm) {
   return {fleet::poolOf(Vm).str(), Vm.Spec_.Rack_.str(), "rack"};
 }
 
-Availability::Availability(const config::FleetTables &Tables,
-                           const VmList &List)
+DisruptionBudgets::DisruptionBudgets(const config::FleetTables &Tables,
+                                     const VmList &List)
     : Tables_(Tables) {
   for (const auto &[Name, Vm] : Tables.Vms_) {
     const bool Down = !isAvailable(Vm, List);
-    for (const Place &Where : {poolPlace(Vm), zonePlace(Vm), rackPlace(Vm)}) {
+    for (const BudgetScope &Where :
+         {poolScope(Vm), zoneScope(Vm), rackScope(Vm)}) {
       Count &Row = Counts_[Where];
       ++Row.Total_;
       Row.Down_ += Down;
@@ -31,22 +35,23 @@
   }
 }
 
-const Availability::Count &Availability::at(const Place &Where) const {
+const DisruptionBudgets::Count &
+DisruptionBudgets::at(const BudgetScope &Where) const {
   static const Count None;
   const auto Row = Counts_.find(Where);
   return Row == Counts_.end() ? None : Row->second;
 }
 
-std::string Availability::reason(const fleet::Vm &Vm) const {
+std::string DisruptionBudgets::blockingReason(const fleet::Vm &Vm) const {
   const auto *Pool = Tables_.find<fleet::Pool>(fleet::poolOf(Vm).str());
   if (!Pool)
     return "pool " + fleet::poolOf(Vm).str() + " is not declared";
   const fleet::AvailabilityBudget &Budget = Pool->Spec_.Budget_;
-  auto Exceeded = [&](const Place &Where, const fleet::Amount &Allowed) {
+  auto Exceeded = [&](const BudgetScope &Where, const fleet::Amount &Allowed) {
     const Count &Row = at(Where);
     return Row.Down_ + 1 > Allowed.of(Row.Total_);
   };
-  auto TextOf = [&](const Place &Where, const fleet::Amount &Allowed) {
+  auto TextOf = [&](const BudgetScope &Where, const fleet::Amount &Allowed) {
     const Count &Row = at(Where);
     std::string Text = "pool " + std::string(Where.Pool_);
     if (!Where.Kind_.empty())
@@ -57,26 +62,26 @@
            " VMs are unavailable, the budget allows " +
            std::to_string(Allowed.of(Row.Total_));
   };
-  if (Exceeded(poolPlace(Vm), Budget.Pool_))
-    return TextOf(poolPlace(Vm), Budget.Pool_);
-  if (Budget.Zone_ && Exceeded(zonePlace(Vm), *Budget.Zone_))
-    return TextOf(zonePlace(Vm), *Budget.Zone_);
-  if (Budget.Rack_ && Exceeded(rackPlace(Vm), *Budget.Rack_))
-    return TextOf(rackPlace(Vm), *Budget.Rack_);
+  if (Exceeded(poolScope(Vm), Budget.Pool_))
+    return TextOf(poolScope(Vm), Budget.Pool_);
+  if (Budget.Zone_ && Exceeded(zoneScope(Vm), *Budget.Zone_))
+    return TextOf(zoneScope(Vm), *Budget.Zone_);
+  if (Budget.Rack_ && Exceeded(rackScope(Vm), *Budget.Rack_))
+    return TextOf(rackScope(Vm), *Budget.Rack_);
   return {};
 }
 
-bool Availability::mayTake(const fleet::Vm &Vm) const {
-  return reason(Vm).empty();
+bool DisruptionBudgets::mayDisrupt(const fleet::Vm &Vm) const {
+  return blockingReason(Vm).empty();
 }
 
-void Availability::take(const fleet::Vm &Vm) {
-  for (const Place &Where : {poolPlace(Vm), zonePlace(Vm), rackPlace(Vm)})
+void DisruptionBudgets::recordDisruption(const fleet::Vm &Vm) {
+  for (const BudgetScope &Where : {poolScope(Vm), zoneScope(Vm), rackScope(Vm)})
     ++Counts_[Where].Down_;
 }
 
-std::uint32_t Availability::downInRack(const fleet::Vm &Vm) const {
-  return at(rackPlace(Vm)).Down_;
+std::uint32_t DisruptionBudgets::unavailableInRack(const fleet::Vm &Vm) const {
+  return at(rackScope(Vm)).Down_;
 }
 
 } // namespace laburnumspread::maintenance
--- a/src/maintenance/internal/waveplanner.cpp
+++ b/src/maintenance/internal/waveplanner.cpp
@@ -1,6 +1,6 @@
 #include "maintenance/waveplanner.h"
 
-#include "maintenance/availability.h"
+#include "maintenance/disruptionbudgets.h"
 
 #include <algorithm>
 #include <unordered_map>
@@ -126,7 +126,7 @@
     if (Cancelled) {
       VmStatus Back = inPhase(Machine, VmPhase::Active, Seen.Now_);
       Back.Wave_ = {};
-      return Add(ActionKind::Recall, Back, "the wave was cancelled");
+      return Add(ActionKind::CancelLeave, Back, "the wave was cancelled");
     }
     if (Row == Seen.List_.end() || !Seen.Drained_(Name))
       return;
@@ -139,7 +139,7 @@
         Row->second.BootId_ != Status.BootBefore_)
       return Add(ActionKind::BeginProbation,
                  inPhase(Machine, VmPhase::Probation, Seen.Now_), "booted");
-    if (Seen.Now_ - Status.Since_ > RebootTime)
+    if (Seen.Now_ - Status.Since_ > RebootTimeout)
       return Add(ActionKind::Fail, inPhase(Machine, VmPhase::Failed, Seen.Now_),
                  "did not come back from its reboot");
     // The list lags: as long as it shows the old boot the reboot may or may
@@ -154,9 +154,9 @@
     noteDone(Tables, Status.Wave_, Next);
     Next.Wave_ = {};
     Next.BootBefore_.clear();
-    if (Seen.Probes_(Name).GoodInRow_ >= ProbesToPass)
+    if (Seen.Probes_(Name).ConsecutiveSuccesses_ >= ProbesToPass)
       return Add(ActionKind::Activate, Next, "passed its probation");
-    if (Seen.Now_ - Status.Since_ > ProbationTime)
+    if (Seen.Now_ - Status.Since_ > ProbationTimeout)
       return Add(ActionKind::Fail, inPhase(Machine, VmPhase::Failed, Seen.Now_),
                  "did not pass its probation");
     return;
@@ -167,11 +167,11 @@
 /// Order in which VMs are taken: racks with the fewest VMs down first, so that
 /// a batch is spread over racks.
 void spreadOverRacks(std::vector<const Vm *> &Machines,
-                     const Availability &Budgets) {
+                     const DisruptionBudgets &Budgets) {
   std::unordered_map<fleet::RackName, std::uint32_t> Position;
   std::vector<std::pair<std::uint32_t, const Vm *>> Keyed;
   for (const Vm *Machine : Machines)
-    Keyed.emplace_back(Budgets.downInRack(*Machine) +
+    Keyed.emplace_back(Budgets.unavailableInRack(*Machine) +
                            Position[Machine->Spec_.Rack_]++,
                        Machine);
   std::stable_sort(
@@ -192,7 +192,7 @@
 class WaveStep {
 public:
   WaveStep(const config::FleetTables &Tables, const Observations &Seen,
-           Availability &Budgets, Plan &Into)
+           DisruptionBudgets &Budgets, Plan &Into)
       : Tables_(Tables), Seen_(Seen), Budgets_(Budgets), Into_(Into) {}
 
   void run(const Wave &Of) {
@@ -239,12 +239,12 @@
       if (Left == 0)
         return;
       // Checked for each: the ones before it count already.
-      if (std::string Why = Budgets_.reason(*Machine); !Why.empty()) {
+      if (std::string Why = Budgets_.blockingReason(*Machine); !Why.empty()) {
         if (Blocked_.empty())
           Blocked_ = std::move(Why);
         continue;
       }
-      Budgets_.take(*Machine);
+      Budgets_.recordDisruption(*Machine);
       --Left;
       ++Progress.InProgress_;
       VmStatus Next = inPhase(*Machine, VmPhase::Leaving, Seen_.Now_);
@@ -285,7 +285,7 @@
 
   const config::FleetTables &Tables_;
   const Observations &Seen_;
-  Availability &Budgets_;
+  DisruptionBudgets &Budgets_;
   Plan &Into_;
   std::string Blocked_;
 };
@@ -302,7 +302,7 @@
   switch (Kind) {
   case ActionKind::Leave:
     return "leave";
-  case ActionKind::Recall:
+  case ActionKind::CancelLeave:
     return "recall";
   case ActionKind::BeginReboot:
     return "begin-reboot";
@@ -327,7 +327,7 @@
   if (std::all_of(Tables.Waves_.begin(), Tables.Waves_.end(),
                   [](const auto &Row) { return isOver(Row.second); }))
     return Result;
-  Availability Budgets(Tables, Seen.List_);
+  DisruptionBudgets Budgets(Tables, Seen.List_);
   WaveStep Step(Tables, Seen, Budgets, Result);
   for (const auto &[Name, Of] : Tables.Waves_)
     if (!isOver(Of))
--- a/src/maintenance/maintenancetypes.h
+++ b/src/maintenance/maintenancetypes.h
@@ -14,13 +14,13 @@
 /// Probes that a rebooted VM has to answer well in a row.
 constexpr std::uint32_t ProbesToPass = 3;
 /// A VM that has not passed its probation by then has failed.
-constexpr Duration ProbationTime = std::chrono::seconds(15);
+constexpr Duration ProbationTimeout = std::chrono::seconds(15);
 /// A VM that has not come back from its reboot by then has failed.
-constexpr Duration RebootTime = std::chrono::minutes(10);
+constexpr Duration RebootTimeout = std::chrono::minutes(10);
 
 /// How a VM has answered probes since it came back.
 struct ProbeState {
-  std::uint32_t GoodInRow_ = 0;
+  std::uint32_t ConsecutiveSuccesses_ = 0;
 };
 
 /// What a decision of the planner depends on, besides the declared objects.
@@ -37,7 +37,7 @@
   /// Take no new work on it.
   Leave,
   /// Back into service without a reboot: its wave was cancelled.
-  Recall,
+  CancelLeave,
   /// Record the boot that is to end, then reboot.
   BeginReboot,
   /// Ask the platform for the reboot that has been recorded.
--- a/src/maintenance/tests/waveplannertest.cpp
+++ b/src/maintenance/tests/waveplannertest.cpp
@@ -1,5 +1,5 @@
 #include "maintenance/waveplanner.h"
-#include "maintenance/availability.h"
+#include "maintenance/disruptionbudgets.h"
 
 #include <algorithm>
 #include <set>
--- a/src/membership/internal/ownership.cpp
+++ b/src/membership/internal/ownership.cpp
@@ -28,8 +28,8 @@
   return Best ? &Best->Owner_.Id_ : nullptr;
 }
 
-std::vector<MemberId> Ownership::spreadOver(std::uint64_t ItemHash,
-                                            std::size_t Count) const {
+std::vector<MemberId> Ownership::selectAcrossZones(std::uint64_t ItemHash,
+                                                   std::size_t Count) const {
   struct Weighted {
     std::uint64_t Weight_ = 0;
     const MemberId *Id_ = nullptr;
--- a/src/membership/internal/viewchanges.cpp
+++ b/src/membership/internal/viewchanges.cpp
@@ -138,7 +138,7 @@
                TimePoint Now) {
   const bool LeasesEnded = std::all_of(
       Current.Departed_.begin(), Current.Departed_.end(),
-      [&](const Departed &Item) { return Item.ReusableAfter_ < Now; });
+      [&](const DepartedMember &Item) { return Item.ReusableAfter_ < Now; });
   return LeasesEnded &&
          std::all_of(Current.Members_.begin(), Current.Members_.end(),
                      [&](const Member &Item) {
@@ -164,7 +164,7 @@
     Members.push_back(toJson(Item));
   for (const PastView &Item : Value.Past_)
     Past.push_back(toJson(Item));
-  for (const Departed &Item : Value.Departed_) {
+  for (const DepartedMember &Item : Value.Departed_) {
     json::object Row = toJson(Item.Id_);
     Row["reusableAfterMicros"] =
         framework::clock::toMicros(Item.ReusableAfter_);
@@ -179,7 +179,7 @@
                    {"departed", std::move(Gone)}});
 }
 
-absl::StatusOr<View> viewFromText(std::string_view Text) {
+absl::StatusOr<View> parseView(std::string_view Text) {
   absl::StatusOr<json::value> Document = framework::settings::parseJson(Text);
   if (!Document.ok())
     return Document.status();
@@ -195,7 +195,7 @@
   Reader.eachObject(
       "past", [&](JsonReader &Row) { Result.Past_.push_back(readPast(Row)); });
   Reader.eachObject("departed", [&](JsonReader &Row) {
-    Departed Item;
+    DepartedMember Item;
     Item.Id_ = readId(Row);
     Item.ReusableAfter_ = framework::clock::fromMicros(
         Row.requiredInt("reusableAfterMicros", {}));
--- a/src/membership/membershiptypes.h
+++ b/src/membership/membershiptypes.h
@@ -48,10 +48,10 @@
 
 /// A removed member. What it held may be used again after the last task lease
 /// that it could have given.
-struct Departed {
+struct DepartedMember {
   MemberId Id_;
   TimePoint ReusableAfter_{};
-  bool operator==(const Departed &) const = default;
+  bool operator==(const DepartedMember &) const = default;
 };
 
 /// The agreed list of entries.
@@ -64,7 +64,7 @@
   std::vector<Member> Members_;
   /// Views from SettledThrough_ to the one before this, oldest first.
   std::vector<PastView> Past_;
-  std::vector<Departed> Departed_;
+  std::vector<DepartedMember> Departed_;
 
   const Member *find(const MemberId &Id) const;
   std::vector<Owner> owners() const;
--- a/src/membership/ownership.h
+++ b/src/membership/ownership.h
@@ -17,8 +17,8 @@
   /// At most \p Count owners in different zones: the best of each zone, and of
   /// those the best. One change of the view replaces at most one of them. With
   /// fewer zones than that, fewer are returned.
-  std::vector<MemberId> spreadOver(std::uint64_t ItemHash,
-                                   std::size_t Count) const;
+  std::vector<MemberId> selectAcrossZones(std::uint64_t ItemHash,
+                                          std::size_t Count) const;
 
 private:
   struct Candidate {
--- a/src/membership/tests/ownershiptest.cpp
+++ b/src/membership/tests/ownershiptest.cpp
@@ -42,8 +42,8 @@
     After.erase(After.begin() + Lost);
     const Ownership Old(Before), New(After);
     for (std::uint64_t Item = 0; Item < Items; ++Item) {
-      const auto Was = Old.spreadOver(Item, 3);
-      const auto Is = New.spreadOver(Item, 3);
+      const auto Was = Old.selectAcrossZones(Item, 3);
+      const auto Is = New.selectAcrossZones(Item, 3);
       const auto Kept = std::count_if(Is.begin(), Is.end(), [&](auto &Id) {
         return std::find(Was.begin(), Was.end(), Id) != Was.end();
       });
--- a/src/membership/tests/contacttest.cpp
+++ b/src/membership/tests/reachabilitytest.cpp
@@ -1,4 +1,4 @@
-#include "membership/contact.h"
+#include "membership/reachability.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -27,14 +27,14 @@
 BOOST_AUTO_TEST_CASE(EntryWithoutStoreAndMajorityIsFenced) {
   const View Current = viewOfSeven();
   const MemberId Self = Current.Members_[0].Id_;
-  ContactTable Table;
-  Table.storeAnswered(Start);
-  BOOST_TEST(!Table.fenced(Current, Self, Start + FenceAfter));
-  BOOST_TEST(Table.fenced(Current, Self, Start + FenceAfter + 1us));
+  ReachabilityTracker Table;
+  Table.recordStoreReply(Start);
+  BOOST_TEST(!Table.fenced(Current, Self, Start + ReachabilityTimeout));
+  BOOST_TEST(Table.fenced(Current, Self, Start + ReachabilityTimeout + 1us));
   for (int I = 1; I <= 2; ++I)
-    Table.peerAnswered(Current.Members_[I].Id_, Start + 3s);
+    Table.recordPeerReply(Current.Members_[I].Id_, Start + 3s);
   BOOST_TEST(Table.fenced(Current, Self, Start + 4s));
-  Table.peerAnswered(Current.Members_[3].Id_, Start + 3s);
+  Table.recordPeerReply(Current.Members_[3].Id_, Start + 3s);
   BOOST_TEST(!Table.fenced(Current, Self, Start + 4s));
 }
 
@@ -42,14 +42,15 @@
 // heartbeat that it had sent before. It must not take that for contact now.
 BOOST_AUTO_TEST_CASE(AnswerToAnOldHeartbeatIsNoProof) {
   const View Current = viewOfSeven();
-  ContactTable Table;
+  ReachabilityTracker Table;
   for (const Member &Item : Current.Members_)
-    Table.peerAnswered(Item.Id_, Start);
+    Table.recordPeerReply(Item.Id_, Start);
   BOOST_TEST(Table.fenced(Current, Current.Members_[0].Id_, Start + 1h));
 }
 
 BOOST_AUTO_TEST_CASE(LoneMemberGoesOnThroughAStoreOutage) {
   View Alone = viewOfSeven();
   Alone.Members_.resize(1);
-  BOOST_TEST(!ContactTable().fenced(Alone, Alone.Members_[0].Id_, Start));
+  BOOST_TEST(
+      !ReachabilityTracker().fenced(Alone, Alone.Members_[0].Id_, Start));
 }
--- a/src/membership/tests/viewchangestest.cpp
+++ b/src/membership/tests/viewchangestest.cpp
@@ -68,6 +68,6 @@
   Current = *withLeaving(Current, memberNamed("a").Id_);
   Current = *withRemoved(Current, memberNamed("b").Id_,
                          TimePoint(std::chrono::seconds(7)));
-  BOOST_TEST((*viewFromText(toText(Current)) == Current));
-  BOOST_TEST(!viewFromText("{\"number\": \"x\"}").ok());
+  BOOST_TEST((*parseView(toText(Current)) == Current));
+  BOOST_TEST(!parseView("{\"number\": \"x\"}").ok());
 }
--- a/src/membership/viewchanges.h
+++ b/src/membership/viewchanges.h
@@ -11,8 +11,7 @@
 
 /// Longest time that a dispatched request may run: the bound of its task
 /// lease. Settings may only lower it.
-constexpr framework::clock::Duration LongestTaskLease =
-    std::chrono::seconds(60);
+constexpr framework::clock::Duration MaxTaskLease = std::chrono::seconds(60);
 
 /// What one member says of itself in a heartbeat, as far as settling a view
 /// depends on it.
@@ -48,6 +47,6 @@
 View asSettled(const View &Current);
 
 std::string toText(const View &Value);
-absl::StatusOr<View> viewFromText(std::string_view Text);
+absl::StatusOr<View> parseView(std::string_view Text);
 
 } // namespace laburnumspread::membership
--- a/src/peers/internal/messagecodec.cpp
+++ b/src/peers/internal/messagecodec.cpp
@@ -51,10 +51,10 @@
   To.set_lease_until_micros(toMicros(From.LeaseUntil_));
   To.set_forget_after_micros(toMicros(From.ForgetAfter_));
   To.set_fingerprint(From.Fingerprint_);
-  To.set_status(From.Answer_.Status_);
-  To.set_content_type(From.Answer_.ContentType_);
-  To.set_body(From.Answer_.Body_);
-  To.set_whole(From.Answer_.Whole_);
+  To.set_status(From.Response_.Status_);
+  To.set_content_type(From.Response_.ContentType_);
+  To.set_body(From.Response_.Body_);
+  To.set_whole(From.Response_.Complete_);
 }
 
 /// A value that this program does not know is taken for the most cautious one.
@@ -72,7 +72,8 @@
   To.LeaseUntil_ = fromMicros(From.lease_until_micros());
   To.ForgetAfter_ = fromMicros(From.forget_after_micros());
   To.Fingerprint_ = From.fingerprint();
-  To.Answer_ = {From.status(), From.content_type(), From.body(), From.whole()};
+  To.Response_ = {From.status(), From.content_type(), From.body(),
+                  From.whole()};
   return To;
 }
 
@@ -210,7 +211,7 @@
   ReserveReply To;
   To.From_ = Sender;
   To.Attempt_ = read(From.attempt());
-  To.Result_ = readEnum(From.result(), idempotency::ReserveResult::Blind,
+  To.Result_ = readEnum(From.result(), idempotency::ReserveResult::RecordsLost,
                         idempotency::ReserveResult::NotReady);
   To.Found_ = read(From.found());
   return To;
@@ -244,7 +245,7 @@
   To.set_bucket(From.Bucket_.value());
   To.set_since(From.Since_.value());
   To.set_result(static_cast<std::uint32_t>(From.Result_));
-  To.set_blind_before_micros(toMicros(From.BlindBefore_));
+  To.set_blind_before_micros(toMicros(From.RecordsLostBefore_));
   for (const idempotency::NamedRecord &Item : From.Records_)
     write(Item, *To.add_records());
 }
@@ -254,9 +255,9 @@
   To.Source_ = Sender;
   To.Bucket_ = idempotency::Bucket(From.bucket());
   To.Since_ = membership::ViewNumber(From.since());
-  To.Result_ = readEnum(From.result(), idempotency::CopyResult::Never,
-                        idempotency::CopyResult::NotYet);
-  To.BlindBefore_ = fromMicros(From.blind_before_micros());
+  To.Result_ = readEnum(From.result(), idempotency::CopyResult::Unavailable,
+                        idempotency::CopyResult::NotReady);
+  To.RecordsLostBefore_ = fromMicros(From.blind_before_micros());
   for (const wire::NamedRecord &Row : From.records())
     To.Records_.push_back(read(Row));
   return To;
--- a/src/pools/internal/moveplanner.cpp
+++ b/src/pools/internal/moveplanner.cpp
@@ -1,6 +1,6 @@
 #include "pools/moveplanner.h"
 
-#include "maintenance/availability.h"
+#include "maintenance/disruptionbudgets.h"
 
 #include <algorithm>
 #include <tuple>
@@ -12,21 +12,21 @@
 
 namespace {
 
-constexpr Duration ShortBase = std::chrono::milliseconds(500);
+constexpr Duration LendBaseDelay = std::chrono::milliseconds(500);
 /// Longer than a peak lasts: the next pool that is short is then lent a VM by
 /// the former one directly, one move instead of two.
-constexpr Duration RoomyBase = std::chrono::seconds(30);
+constexpr Duration ReturnBaseDelay = std::chrono::seconds(30);
 /// A pool has room to spare below this part of its slots in use.
-constexpr double RoomyBelow = 0.5;
+constexpr double UnderusedBelow = 0.5;
 /// VMs that one pool is lent in one tick.
-constexpr std::uint32_t MovesPerTick = 4;
+constexpr std::uint32_t MaxMovesPerTick = 4;
 
 Duration scaled(Duration Base, double Factor) {
   return Duration(
       static_cast<std::int64_t>(static_cast<double>(Base.count()) * Factor));
 }
 
-bool waveIsGoing(const config::FleetTables &Tables, const PoolName &Pool) {
+bool isWaveActive(const config::FleetTables &Tables, const PoolName &Pool) {
   return std::any_of(
       Tables.Waves_.begin(), Tables.Waves_.end(), [&](const auto &Row) {
         const fleet::Wave &Of = Row.second;
@@ -39,29 +39,31 @@
       });
 }
 
-std::uint32_t needOf(const Demand &Work) {
+std::uint32_t requiredSlots(const Demand &Work) {
   return Work.Running_ + Work.Waiting_;
 }
 
 } // namespace
 
-Duration MovePlanner::lendAfter() const {
-  return scaled(ShortBase, (1 + Weights_.Moves_) / (1 + Weights_.Closeness_));
+Duration MovePlanner::lendDelay() const {
+  return scaled(LendBaseDelay,
+                (1 + Weights_.Moves_) / (1 + Weights_.Closeness_));
 }
 
-Duration MovePlanner::returnAfter() const {
-  return scaled(RoomyBase, (1 + Weights_.Moves_) / (1 + Weights_.Buffer_));
+Duration MovePlanner::returnDelay() const {
+  return scaled(ReturnBaseDelay,
+                (1 + Weights_.Moves_) / (1 + Weights_.Buffer_));
 }
 
-std::map<PoolName, MovePlanner::PoolView>
-MovePlanner::viewPools(const MoveInputs &Seen) const {
-  std::map<PoolName, PoolView> Result;
+std::map<PoolName, MovePlanner::PoolSummary>
+MovePlanner::summarizePools(const MoveInputs &Seen) const {
+  std::map<PoolName, PoolSummary> Result;
   for (const auto &[Name, Declared] : Seen.Tables_.Pools_) {
-    PoolView &Row = Result[PoolName(Name)];
+    PoolSummary &Row = Result[PoolName(Name)];
     Row.Name_ = PoolName(Name);
     Row.Declared_ = &Declared;
     Row.Demand_ = Seen.Demand_(Row.Name_);
-    Row.InWave_ = waveIsGoing(Seen.Tables_, Row.Name_);
+    Row.InWave_ = isWaveActive(Seen.Tables_, Row.Name_);
   }
   for (const auto &[Name, Machine] : Seen.Tables_.Vms_) {
     const auto Row = Result.find(fleet::poolOf(Machine));
@@ -73,34 +75,35 @@
   return Result;
 }
 
-void MovePlanner::note(const PoolView &Pool, TimePoint Now) {
+void MovePlanner::updatePoolState(const PoolSummary &Pool, TimePoint Now) {
   PoolState &State = States_[Pool.Name_];
-  const std::uint32_t Need = needOf(Pool.Demand_);
-  const bool Short = Pool.Demand_.Waiting_ > 0 && Need > Pool.Slots_;
-  const bool Roomy = Need < RoomyBelow * Pool.Slots_;
-  if (!Short)
-    State.ShortSince_ = {};
-  else if (State.ShortSince_ == TimePoint{})
-    State.ShortSince_ = Now;
-  if (!Roomy)
-    State.RoomySince_ = {};
-  else if (State.RoomySince_ == TimePoint{})
-    State.RoomySince_ = Now;
+  const std::uint32_t Need = requiredSlots(Pool.Demand_);
+  const bool Overloaded = Pool.Demand_.Waiting_ > 0 && Need > Pool.Slots_;
+  const bool Underused = Need < UnderusedBelow * Pool.Slots_;
+  if (!Overloaded)
+    State.OverloadedSince_ = {};
+  else if (State.OverloadedSince_ == TimePoint{})
+    State.OverloadedSince_ = Now;
+  if (!Underused)
+    State.UnderusedSince_ = {};
+  else if (State.UnderusedSince_ == TimePoint{})
+    State.UnderusedSince_ = Now;
 }
 
-bool MovePlanner::mayGive(const PoolView &Donor) const {
+bool MovePlanner::canLend(const PoolSummary &Donor) const {
   if (Donor.InWave_ ||
       Donor.Usable_.size() <= std::max(1U, Donor.Declared_->Spec_.MinimumVms_))
     return false;
   if (Donor.Declared_->Spec_.Spare_)
     return true;
   const auto State = States_.find(Donor.Name_);
-  return State != States_.end() && State->second.RoomySince_ != TimePoint{};
+  return State != States_.end() && State->second.UnderusedSince_ != TimePoint{};
 }
 
 /// The VM with the least work; among equals one of the zone that has most, so
 /// that the donor stays spread over its zones.
-const Vm *MovePlanner::pickIdle(const PoolView &Donor, const MoveInputs &Seen) {
+const Vm *MovePlanner::leastLoadedVm(const PoolSummary &Donor,
+                                     const MoveInputs &Seen) {
   std::map<fleet::ZoneName, int> InZone;
   for (const Vm *Machine : Donor.Usable_)
     ++InZone[Machine->Spec_.Zone_];
@@ -116,21 +119,22 @@
   return Best;
 }
 
-void MovePlanner::lend(PoolView &To, std::map<PoolName, PoolView> &Pools,
+void MovePlanner::lend(PoolSummary &To, std::map<PoolName, PoolSummary> &Pools,
                        const MoveInputs &Seen, std::vector<Move> &Into) {
-  std::vector<PoolView *> Donors;
+  std::vector<PoolSummary *> Donors;
   for (auto &[Name, Row] : Pools)
     if (Name != To.Name_)
       Donors.push_back(&Row);
-  std::stable_sort(
-      Donors.begin(), Donors.end(), [](const PoolView *A, const PoolView *B) {
-        return A->Declared_->Spec_.Spare_ > B->Declared_->Spec_.Spare_;
-      });
+  std::stable_sort(Donors.begin(), Donors.end(),
+                   [](const PoolSummary *A, const PoolSummary *B) {
+                     return A->Declared_->Spec_.Spare_ >
+                            B->Declared_->Spec_.Spare_;
+                   });
   std::uint32_t Moved = 0;
-  for (PoolView *Donor : Donors) {
-    while (Moved < MovesPerTick && To.Slots_ < needOf(To.Demand_) &&
-           mayGive(*Donor)) {
-      const Vm *Machine = pickIdle(*Donor, Seen);
+  for (PoolSummary *Donor : Donors) {
+    while (Moved < MaxMovesPerTick && To.Slots_ < requiredSlots(To.Demand_) &&
+           canLend(*Donor)) {
+      const Vm *Machine = leastLoadedVm(*Donor, Seen);
       if (!Machine)
         break;
       std::erase(Donor->Usable_, Machine);
@@ -144,15 +148,15 @@
   }
 }
 
-void MovePlanner::sendHome(PoolView &From, const MoveInputs &Seen,
-                           std::vector<Move> &Into) {
+void MovePlanner::returnIdleVms(PoolSummary &From, const MoveInputs &Seen,
+                                std::vector<Move> &Into) {
   std::uint32_t Moved = 0;
   for (const Vm *Machine : From.Usable_) {
     const std::uint32_t Slots = Machine->Spec_.Slots_.value();
-    const bool StaysRoomy =
-        needOf(From.Demand_) < RoomyBelow * (From.Slots_ - Slots);
-    if (Machine->Status_.LentTo_.empty() || Moved >= MovesPerTick ||
-        !StaysRoomy || Seen.RunningOn_(Machine->Metadata_.Name_) > 0)
+    const bool StaysUnderused =
+        requiredSlots(From.Demand_) < UnderusedBelow * (From.Slots_ - Slots);
+    if (Machine->Status_.LentTo_.empty() || Moved >= MaxMovesPerTick ||
+        !StaysUnderused || Seen.RunningOn_(Machine->Metadata_.Name_) > 0)
       continue;
     From.Slots_ -= Slots;
     ++Moved;
@@ -163,19 +167,19 @@
 
 std::vector<Move> MovePlanner::plan(const MoveInputs &Seen) {
   std::vector<Move> Result;
-  auto Pools = viewPools(Seen);
+  auto Pools = summarizePools(Seen);
   for (const auto &[Name, Row] : Pools)
-    note(Row, Seen.Now_);
+    updatePoolState(Row, Seen.Now_);
   for (auto &[Name, Row] : Pools) {
     if (Row.InWave_ || Row.Declared_->Spec_.Spare_)
       continue;
     const PoolState &State = States_[Name];
-    if (State.ShortSince_ != TimePoint{} &&
-        Seen.Now_ - State.ShortSince_ >= lendAfter())
+    if (State.OverloadedSince_ != TimePoint{} &&
+        Seen.Now_ - State.OverloadedSince_ >= lendDelay())
       lend(Row, Pools, Seen, Result);
-    else if (State.RoomySince_ != TimePoint{} &&
-             Seen.Now_ - State.RoomySince_ >= returnAfter())
-      sendHome(Row, Seen, Result);
+    else if (State.UnderusedSince_ != TimePoint{} &&
+             Seen.Now_ - State.UnderusedSince_ >= returnDelay())
+      returnIdleVms(Row, Seen, Result);
   }
   return Result;
 }
--- a/src/pools/moveplanner.h
+++ b/src/pools/moveplanner.h
@@ -14,7 +14,7 @@
 using framework::clock::TimePoint;
 
 /// What the users weigh: closeness to share, moves, and idle buffer.
-struct Weights {
+struct MoveWeights {
   double Closeness_ = 1;
   double Moves_ = 1;
   double Buffer_ = 1;
@@ -31,7 +31,7 @@
   fleet::PoolName From_;
   fleet::PoolName To_;
   /// Whether the VM goes back to its declared pool.
-  bool Home_ = false;
+  bool ToDeclaredPool_ = false;
   std::string Reason_;
 };
 
@@ -53,19 +53,19 @@
 /// with the weight of moves against closeness.
 class MovePlanner {
 public:
-  explicit MovePlanner(Weights Weighed) : Weights_(Weighed) {}
+  explicit MovePlanner(MoveWeights Weighed) : Weights_(Weighed) {}
 
   std::vector<Move> plan(const MoveInputs &Seen);
 
-  Duration lendAfter() const;
-  Duration returnAfter() const;
+  Duration lendDelay() const;
+  Duration returnDelay() const;
 
 private:
   struct PoolState {
-    TimePoint ShortSince_{};
-    TimePoint RoomySince_{};
+    TimePoint OverloadedSince_{};
+    TimePoint UnderusedSince_{};
   };
-  struct PoolView {
+  struct PoolSummary {
     fleet::PoolName Name_;
     const fleet::Pool *Declared_ = nullptr;
     std::vector<const fleet::Vm *> Usable_;
@@ -74,17 +74,18 @@
     bool InWave_ = false;
   };
 
-  std::map<fleet::PoolName, PoolView> viewPools(const MoveInputs &Seen) const;
-  void note(const PoolView &Pool, TimePoint Now);
-  void lend(PoolView &To, std::map<fleet::PoolName, PoolView> &Pools,
+  std::map<fleet::PoolName, PoolSummary>
+  summarizePools(const MoveInputs &Seen) const;
+  void updatePoolState(const PoolSummary &Pool, TimePoint Now);
+  void lend(PoolSummary &To, std::map<fleet::PoolName, PoolSummary> &Pools,
             const MoveInputs &Seen, std::vector<Move> &Into);
-  void sendHome(PoolView &From, const MoveInputs &Seen,
-                std::vector<Move> &Into);
-  bool mayGive(const PoolView &Donor) const;
-  static const fleet::Vm *pickIdle(const PoolView &Donor,
-                                   const MoveInputs &Seen);
+  void returnIdleVms(PoolSummary &From, const MoveInputs &Seen,
+                     std::vector<Move> &Into);
+  bool canLend(const PoolSummary &Donor) const;
+  static const fleet::Vm *leastLoadedVm(const PoolSummary &Donor,
+                                        const MoveInputs &Seen);
 
-  Weights Weights_;
+  MoveWeights Weights_;
   std::map<fleet::PoolName, PoolState> States_;
 };
 
--- a/src/pools/tests/moveplannertest.cpp
+++ b/src/pools/tests/moveplannertest.cpp
@@ -17,7 +17,7 @@
   std::map<PoolName, Demand> Work_;
   std::map<std::string, std::uint32_t> Running_;
   TimePoint Now_{1000h};
-  MovePlanner Planner_{Weights()};
+  MovePlanner Planner_{MoveWeights()};
 
   Fixture() {
     addPool("orders", 4, 2, false);
@@ -49,7 +49,7 @@
          [&](const std::string &Vm) { return Running_[Vm]; }, Now_});
     for (const Move &Item : Moves) {
       auto &Status = Tables_.Vms_.at(Item.Vm_).Status_;
-      Status.LentTo_ = Item.Home_ ? PoolName() : Item.To_;
+      Status.LentTo_ = Item.ToDeclaredPool_ ? PoolName() : Item.To_;
     }
     return Moves;
   }
@@ -86,7 +86,7 @@
   tick();
   Work_[PoolName("orders")] = {2, 0};
   BOOST_TEST(tick().empty());
-  BOOST_TEST(tick(Planner_.returnAfter() - 2s).empty());
+  BOOST_TEST(tick(Planner_.returnDelay() - 2s).empty());
   BOOST_TEST(tick(3s).size() == 2u);
   BOOST_TEST(vmsIn("spare") == 3);
 }
@@ -123,5 +123,5 @@
 BOOST_AUTO_TEST_CASE(WeightsShiftTheTimes) {
   const MovePlanner Lunch({2, 1, 1});
   const MovePlanner Print({1, 2, 2});
-  BOOST_TEST((Lunch.lendAfter() < Print.lendAfter()));
+  BOOST_TEST((Lunch.lendDelay() < Print.lendDelay()));
 }
--- a/src/routing/endpointtable.h
+++ b/src/routing/endpointtable.h
@@ -24,11 +24,11 @@
 /// Failures in a row at which an endpoint is ejected.
 constexpr std::uint32_t EjectAfterFailures = 5;
 /// First ejection; each further one doubles it, up to the longest.
-constexpr Duration FirstEjection = std::chrono::seconds(5);
-constexpr Duration LongestEjection = std::chrono::seconds(80);
+constexpr Duration BaseEjectionTime = std::chrono::seconds(5);
+constexpr Duration MaxEjectionTime = std::chrono::seconds(80);
 
 enum class Health {
-  Good,
+  Healthy,
   /// Gets no work until a time.
   Ejected,
   /// Gets one request at a time until one has succeeded.
@@ -47,8 +47,8 @@
   /// Whether new work may go there, as far as the configuration says.
   bool Open_ = false;
   bool Declared_ = false;
-  Health Health_ = Health::Good;
-  std::uint32_t FailuresInRow_ = 0;
+  Health Health_ = Health::Healthy;
+  std::uint32_t ConsecutiveFailures_ = 0;
   std::uint32_t Ejections_ = 0;
   TimePoint EjectedUntil_{};
   /// Requests of this entry that run there.
@@ -56,10 +56,10 @@
 };
 
 /// How an exchange with an endpoint ended, as far as its health goes.
-enum class Exchange { Succeeded, Refused, Failed };
+enum class ExchangeResult { Succeeded, Refused, Failed };
 
 /// What noting an exchange has changed.
-enum class HealthChange { None, Ejected, Returned };
+enum class HealthChange { None, Ejected, Restored };
 
 /// What a choice among the endpoints of a pool depends on.
 struct RouteInputs {
@@ -69,27 +69,27 @@
   TimePoint Until_{};
   TimePoint Now_{};
   /// Endpoints that have refused this request already.
-  std::span<const EndpointIndex> Avoid_;
+  std::span<const EndpointIndex> Excluded_;
 };
 
 /// All endpoints, by pool, with their health as this entry sees it.
 class EndpointTable {
 public:
   /// Adds or changes an endpoint. Health is kept, unless the address is new.
-  EndpointIndex declare(const fleet::Vm &Vm, limits::SubjectIndex Slots);
-  void withdraw(const VmName &Vm);
+  EndpointIndex addOrUpdate(const fleet::Vm &Vm, limits::SubjectIndex Slots);
+  void remove(const VmName &Vm);
 
   /// An endpoint with a free slot: of this entry's zone if there is one, of
   /// two at random the one with less work. Empty when none is free.
-  std::optional<EndpointIndex> choose(const PoolName &Pool,
-                                      const RouteInputs &Inputs,
-                                      std::mt19937_64 &Random) const;
-
-  void started(EndpointIndex At) { ++Rows_[At.value()].Running_; }
-  /// Notes the end of an exchange. \p CapPercent is the largest part of the
-  /// pool that may be ejected.
-  HealthChange ended(EndpointIndex At, Exchange How, std::uint32_t CapPercent,
-                     TimePoint Now);
+  std::optional<EndpointIndex> selectEndpoint(const PoolName &Pool,
+                                              const RouteInputs &Inputs,
+                                              std::mt19937_64 &Random) const;
+
+  void exchangeStarted(EndpointIndex At) { ++Rows_[At.value()].Running_; }
+  /// Notes the end of an exchange. \p MaxEjectionPercent is the largest part of
+  /// the pool that may be ejected.
+  HealthChange exchangeEnded(EndpointIndex At, ExchangeResult How,
+                             std::uint32_t MaxEjectionPercent, TimePoint Now);
   /// Lets ejected endpoints whose time is over be tried again.
   void tick(TimePoint Now);
 
@@ -106,7 +106,7 @@
   bool anyHealthy(const PoolName &Pool) const;
 
 private:
-  bool mayEject(const Endpoint &Row, std::uint32_t CapPercent) const;
+  bool mayEject(const Endpoint &Row, std::uint32_t MaxEjectionPercent) const;
   bool eligible(const Endpoint &Row, const RouteInputs &Inputs) const;
 
   std::vector<Endpoint> Rows_;
--- a/src/routing/internal/endpointtable.cpp
+++ b/src/routing/internal/endpointtable.cpp
@@ -6,7 +6,7 @@
 
 std::string_view nameOf(Health Value) {
   switch (Value) {
-  case Health::Good:
+  case Health::Healthy:
     return "good";
   case Health::Ejected:
     return "ejected";
@@ -16,8 +16,8 @@
   return "good";
 }
 
-EndpointIndex EndpointTable::declare(const fleet::Vm &Vm,
-                                     limits::SubjectIndex Slots) {
+EndpointIndex EndpointTable::addOrUpdate(const fleet::Vm &Vm,
+                                         limits::SubjectIndex Slots) {
   const VmName Name(Vm.Metadata_.Name_);
   const auto [At, Added] = Index_.try_emplace(
       Name, EndpointIndex(static_cast<std::uint32_t>(Rows_.size())));
@@ -31,8 +31,8 @@
     Pools_[Pool].push_back(At->second);
   }
   if (Row.Address_ != Vm.Spec_.Address_) {
-    Row.Health_ = Health::Good;
-    Row.FailuresInRow_ = Row.Ejections_ = 0;
+    Row.Health_ = Health::Healthy;
+    Row.ConsecutiveFailures_ = Row.Ejections_ = 0;
   }
   Row.Vm_ = Name;
   Row.Pool_ = Pool;
@@ -46,7 +46,7 @@
   return At->second;
 }
 
-void EndpointTable::withdraw(const VmName &Vm) {
+void EndpointTable::remove(const VmName &Vm) {
   const auto At = Index_.find(Vm);
   if (At == Index_.end())
     return;
@@ -65,14 +65,14 @@
 }
 
 std::optional<EndpointIndex>
-EndpointTable::choose(const PoolName &Pool, const RouteInputs &Inputs,
-                      std::mt19937_64 &Random) const {
+EndpointTable::selectEndpoint(const PoolName &Pool, const RouteInputs &Inputs,
+                              std::mt19937_64 &Random) const {
   std::vector<EndpointIndex> Near, Far;
   for (EndpointIndex Index : inPool(Pool)) {
     const Endpoint &Row = at(Index);
     if (!eligible(Row, Inputs) ||
-        std::find(Inputs.Avoid_.begin(), Inputs.Avoid_.end(), Index) !=
-            Inputs.Avoid_.end())
+        std::find(Inputs.Excluded_.begin(), Inputs.Excluded_.end(), Index) !=
+            Inputs.Excluded_.end())
       continue;
     (Row.Zone_ == Inputs.OwnZone_ ? Near : Far).push_back(Index);
   }
@@ -85,39 +85,42 @@
 }
 
 bool EndpointTable::mayEject(const Endpoint &Row,
-                             std::uint32_t CapPercent) const {
+                             std::uint32_t MaxEjectionPercent) const {
   const auto &Pool = inPool(Row.Pool_);
   const auto Ejected =
       std::count_if(Pool.begin(), Pool.end(), [&](EndpointIndex Index) {
-        return at(Index).Health_ != Health::Good;
+        return at(Index).Health_ != Health::Healthy;
       });
   return (Ejected + 1) * 100 <=
-         static_cast<std::ptrdiff_t>(Pool.size() * CapPercent);
+         static_cast<std::ptrdiff_t>(Pool.size() * MaxEjectionPercent);
 }
 
-HealthChange EndpointTable::ended(EndpointIndex Index, Exchange How,
-                                  std::uint32_t CapPercent, TimePoint Now) {
+HealthChange EndpointTable::exchangeEnded(EndpointIndex Index,
+                                          ExchangeResult How,
+                                          std::uint32_t MaxEjectionPercent,
+                                          TimePoint Now) {
   Endpoint &Row = Rows_[Index.value()];
   --Row.Running_;
-  if (How == Exchange::Refused)
+  if (How == ExchangeResult::Refused)
     return HealthChange::None;
-  if (How == Exchange::Succeeded) {
-    Row.FailuresInRow_ = 0;
-    if (Row.Health_ == Health::Good)
+  if (How == ExchangeResult::Succeeded) {
+    Row.ConsecutiveFailures_ = 0;
+    if (Row.Health_ == Health::Healthy)
       return HealthChange::None;
-    Row.Health_ = Health::Good;
-    return HealthChange::Returned;
+    Row.Health_ = Health::Healthy;
+    return HealthChange::Restored;
   }
-  ++Row.FailuresInRow_;
+  ++Row.ConsecutiveFailures_;
   const bool Again = Row.Health_ == Health::Probation;
   if (Row.Health_ == Health::Ejected ||
-      !(Again || (Row.FailuresInRow_ >= EjectAfterFailures &&
-                  mayEject(Row, CapPercent))))
+      !(Again || (Row.ConsecutiveFailures_ >= EjectAfterFailures &&
+                  mayEject(Row, MaxEjectionPercent))))
     return HealthChange::None;
   Row.Health_ = Health::Ejected;
   Ejected_.push_back(Index);
-  const Duration Wanted = FirstEjection * (1 << std::min(Row.Ejections_, 8u));
-  Row.EjectedUntil_ = Now + std::min(Wanted, LongestEjection);
+  const Duration Wanted =
+      BaseEjectionTime * (1 << std::min(Row.Ejections_, 8u));
+  Row.EjectedUntil_ = Now + std::min(Wanted, MaxEjectionTime);
   ++Row.Ejections_;
   return HealthChange::Ejected;
 }
--- a/src/routing/internal/estimates.cpp
+++ b/src/routing/internal/runtimeestimates.cpp
@@ -1,4 +1,4 @@
-#include "routing/estimates.h"
+#include "routing/runtimeestimates.h"
 
 #include <cmath>
 
@@ -7,7 +7,8 @@
 namespace {
 
 void blend(double &Mean, double Sample) {
-  Mean = Mean == 0 ? Sample : Mean + Estimates::Smoothing * (Sample - Mean);
+  Mean =
+      Mean == 0 ? Sample : Mean + RunTimeEstimates::Smoothing * (Sample - Mean);
 }
 
 Duration toDuration(double Micros) {
@@ -22,24 +23,26 @@
 
 } // namespace
 
-void Estimates::observed(const fleet::PoolName &Pool,
-                         const fleet::TeamName &Team, Duration RunTime) {
+void RunTimeEstimates::recordRunTime(const fleet::PoolName &Pool,
+                                     const fleet::TeamName &Team,
+                                     Duration RunTime) {
   const auto Micros = static_cast<double>(RunTime.count());
   blend(TeamMicros_[{Pool, Team}], Micros);
   blend(PoolMicros_[Pool], Micros);
 }
 
-Duration Estimates::meanRunTime(const fleet::PoolName &Pool) const {
+Duration RunTimeEstimates::meanRunTime(const fleet::PoolName &Pool) const {
   return lookUp(PoolMicros_, Pool);
 }
 
-Duration Estimates::meanRunTime(const fleet::PoolName &Pool,
-                                const fleet::TeamName &Team) const {
+Duration RunTimeEstimates::meanRunTime(const fleet::PoolName &Pool,
+                                       const fleet::TeamName &Team) const {
   return lookUp(TeamMicros_, Key{Pool, Team});
 }
 
-Duration Estimates::waitBehind(const fleet::PoolName &Pool, std::size_t Ahead,
-                               std::uint32_t Slots) const {
+Duration RunTimeEstimates::estimatedWait(const fleet::PoolName &Pool,
+                                         std::size_t Ahead,
+                                         std::uint32_t Slots) const {
   if (Slots == 0)
     return Duration(0);
   const auto Mean = static_cast<double>(meanRunTime(Pool).count());
--- a/src/routing/retrybudget.h
+++ b/src/routing/retrybudget.h
@@ -11,22 +11,24 @@
 class RetryBudget {
 public:
   /// Retries earned by each first try.
-  static constexpr double PerRequest = 0.1;
+  static constexpr double TokensPerRequest = 0.1;
   /// Largest number of retries that can be saved up.
-  static constexpr double Most = 10;
+  static constexpr double MaxTokens = 10;
 
-  void requestStarted() { Left_ = std::min(Most, Left_ + PerRequest); }
+  void requestStarted() {
+    Tokens_ = std::min(MaxTokens, Tokens_ + TokensPerRequest);
+  }
 
   /// Takes one retry. False when none is left.
-  bool take() {
-    if (Left_ < 1)
+  bool tryConsume() {
+    if (Tokens_ < 1)
       return false;
-    Left_ -= 1;
+    Tokens_ -= 1;
     return true;
   }
 
 private:
-  double Left_ = Most;
+  double Tokens_ = MaxTokens;
 };
 
 } // namespace laburnumspread::routing
--- a/src/routing/estimates.h
+++ b/src/routing/runtimeestimates.h
@@ -10,13 +10,13 @@
 
 /// Run times as they were seen, by team and pool. What callers declare is off
 /// by large factors; it is used for nothing here.
-class Estimates {
+class RunTimeEstimates {
 public:
   /// Weight of the newest run time.
   static constexpr double Smoothing = 0.1;
 
-  void observed(const fleet::PoolName &Pool, const fleet::TeamName &Team,
-                Duration RunTime);
+  void recordRunTime(const fleet::PoolName &Pool, const fleet::TeamName &Team,
+                     Duration RunTime);
 
   /// Mean run time in a pool over all teams; zero before anything was seen.
   Duration meanRunTime(const fleet::PoolName &Pool) const;
@@ -25,8 +25,8 @@
 
   /// Time until a request that comes after \p Ahead others would start, in a
   /// pool with \p Slots slots that are all busy.
-  Duration waitBehind(const fleet::PoolName &Pool, std::size_t Ahead,
-                      std::uint32_t Slots) const;
+  Duration estimatedWait(const fleet::PoolName &Pool, std::size_t Ahead,
+                         std::uint32_t Slots) const;
 
 private:
   struct Key {
--- a/src/routing/tests/endpointtabletest.cpp
+++ b/src/routing/tests/endpointtabletest.cpp
@@ -40,20 +40,20 @@
   }
 
   EndpointIndex declare(const fleet::Vm &Vm) {
-    return Table_.declare(
+    return Table_.addOrUpdate(
         Vm, Ledger_.setLimit(limits::SubjectName("slots/" + Vm.Metadata_.Name_),
                              2));
   }
 
   std::optional<EndpointIndex> choose(std::span<const EndpointIndex> Avoid = {},
                                       fleet::Size Size = {}) {
-    return Table_.choose(
+    return Table_.selectEndpoint(
         Orders, {Ledger_, Near, Size, Start + 1s, Start, Avoid}, Random_);
   }
 
   HealthChange fail(EndpointIndex At, TimePoint Now = Start) {
-    Table_.started(At);
-    return Table_.ended(At, Exchange::Failed, HalfOfPool, Now);
+    Table_.exchangeStarted(At);
+    return Table_.exchangeEnded(At, ExchangeResult::Failed, HalfOfPool, Now);
   }
 };
 
@@ -92,19 +92,20 @@
     BOOST_TEST((fail(Bad) == HealthChange::None));
   BOOST_TEST((fail(Bad) == HealthChange::Ejected));
   BOOST_TEST(*choose() == Good);
-  Table_.tick(Start + FirstEjection);
+  Table_.tick(Start + BaseEjectionTime);
   BOOST_TEST(*choose() == Bad);
-  Table_.started(Bad);
+  Table_.exchangeStarted(Bad);
   BOOST_TEST(*choose() == Good);
   // It fails again: the second ejection is longer.
-  BOOST_TEST((Table_.ended(Bad, Exchange::Failed, HalfOfPool,
-                           Start + FirstEjection) == HealthChange::Ejected));
-  Table_.tick(Start + 2 * FirstEjection);
+  BOOST_TEST((Table_.exchangeEnded(Bad, ExchangeResult::Failed, HalfOfPool,
+                                   Start + BaseEjectionTime) ==
+              HealthChange::Ejected));
+  Table_.tick(Start + 2 * BaseEjectionTime);
   BOOST_TEST(*choose() == Good);
-  Table_.tick(Start + 3 * FirstEjection);
-  Table_.started(Bad);
-  BOOST_TEST((Table_.ended(Bad, Exchange::Succeeded, HalfOfPool, Start + 20s) ==
-              HealthChange::Returned));
+  Table_.tick(Start + 3 * BaseEjectionTime);
+  Table_.exchangeStarted(Bad);
+  BOOST_TEST((Table_.exchangeEnded(Bad, ExchangeResult::Succeeded, HalfOfPool,
+                                   Start + 20s) == HealthChange::Restored));
 }
 
 // Every endpoint fails, since what they all call is broken. Ejecting them all
@@ -136,6 +137,6 @@
   declare(Vm);
   BOOST_TEST(Table_.inPool(Orders).empty());
   BOOST_TEST(Table_.inPool(PoolName("menus")).size() == 1u);
-  Table_.withdraw(VmName("a"));
+  Table_.remove(VmName("a"));
   BOOST_TEST(Table_.inPool(PoolName("menus")).empty());
 }
--- a/src/sharing/fleetusage.h
+++ b/src/sharing/fleetusage.h
@@ -9,7 +9,7 @@
 
 namespace laburnumspread::sharing {
 
-struct TeamUse {
+struct TeamUsage {
   std::uint32_t Running_ = 0;
   std::uint32_t Waiting_ = 0;
 };
@@ -21,23 +21,23 @@
   struct Row {
     PoolName Pool_;
     TeamName Team_;
-    TeamUse Use_;
+    TeamUsage Usage_;
   };
 
   /// Changes what is known of a peer, row by row.
-  void update(const MemberId &Peer, const std::vector<Row> &Rows);
+  void updatePeerRows(const MemberId &Peer, const std::vector<Row> &Rows);
   /// Replaces what is known of a peer.
-  void heard(const MemberId &Peer, const std::vector<Row> &Rows);
-  void forget(const MemberId &Peer);
+  void replacePeerRows(const MemberId &Peer, const std::vector<Row> &Rows);
+  void removePeer(const MemberId &Peer);
 
   void addRunning(const PoolName &Pool, const TeamName &Team, int By);
   void addWaiting(const PoolName &Pool, const TeamName &Team, int By);
 
   /// Over the fleet.
-  TeamUse total(const PoolName &Pool, const TeamName &Team) const;
-  const std::map<TeamName, TeamUse> &totals(const PoolName &Pool) const;
+  TeamUsage total(const PoolName &Pool, const TeamName &Team) const;
+  const std::map<TeamName, TeamUsage> &totals(const PoolName &Pool) const;
   /// Of this entry alone.
-  std::vector<Row> own() const;
+  std::vector<Row> localRows() const;
   /// At most \p Most rows of this entry that have changed since they were last
   /// taken, those with waiting requests first; one that has become empty is
   /// given as zeros. The others stay for the next call.
@@ -51,13 +51,13 @@
     TeamName Team_;
     auto operator<=>(const Key &) const = default;
   };
-  void changeOwn(const PoolName &Pool, const TeamName &Team, const TeamUse &By,
-                 int Sign);
-  void shift(const PoolName &Pool, const TeamName &Team, const TeamUse &By,
+  void changeOwn(const PoolName &Pool, const TeamName &Team,
+                 const TeamUsage &By, int Sign);
+  void shift(const PoolName &Pool, const TeamName &Team, const TeamUsage &By,
              int Sign);
 
-  std::map<PoolName, std::map<TeamName, TeamUse>> Total_;
-  std::map<Key, TeamUse> Own_;
+  std::map<PoolName, std::map<TeamName, TeamUsage>> Total_;
+  std::map<Key, TeamUsage> Own_;
   std::set<Key> Changed_;
   std::unordered_map<MemberId, std::vector<Row>> Peers_;
 };
--- a/src/sharing/internal/poolqueue.cpp
+++ b/src/sharing/internal/poolqueue.cpp
@@ -123,21 +123,22 @@
   return Expired;
 }
 
-void PoolQueue::wish(const PeerWish &Item) {
-  std::erase_if(Wishes_, [&](const PeerWish &Old) {
+void PoolQueue::addBorrowRequest(const BorrowRequest &Item) {
+  std::erase_if(BorrowRequests_, [&](const BorrowRequest &Old) {
     return Old.From_ == Item.From_ && Old.Team_ == Item.Team_ &&
            Old.Class_ == Item.Class_;
   });
   if (Item.Count_ > 0)
-    Wishes_.push_back(Item);
+    BorrowRequests_.push_back(Item);
 }
 
-void PoolQueue::granted(const PeerWish &Item) {
-  for (PeerWish &Row : Wishes_)
+void PoolQueue::recordGrant(const BorrowRequest &Item) {
+  for (BorrowRequest &Row : BorrowRequests_)
     if (Row.From_ == Item.From_ && Row.Team_ == Item.Team_ &&
         Row.Class_ == Item.Class_ && Row.Count_ > 0)
       --Row.Count_;
-  std::erase_if(Wishes_, [](const PeerWish &Row) { return Row.Count_ == 0; });
+  std::erase_if(BorrowRequests_,
+                [](const BorrowRequest &Row) { return Row.Count_ == 0; });
 }
 
 const Ticket *PoolQueue::head(const TeamQueue &Of) const {
@@ -148,10 +149,10 @@
   return nullptr;
 }
 
-Choice PoolQueue::choose(const ShareInputs &Inputs) const {
+SlotRecipient PoolQueue::selectNext(const ShareInputs &Inputs) const {
   ActiveTeams Active(Inputs);
   std::optional<Rank> Best;
-  Choice Chosen;
+  SlotRecipient Chosen;
   for (const auto &[Team, Queue] : Teams_) {
     const Ticket *Head = head(Queue);
     if (!Head || !Inputs.MayStart_(Team))
@@ -163,8 +164,8 @@
     Best = Here;
     Chosen = *Head;
   }
-  for (const PeerWish &Wish : Wishes_) {
-    if (Wish.LapsesAt_ <= Inputs.Now_)
+  for (const BorrowRequest &Wish : BorrowRequests_) {
+    if (Wish.ExpiresAt_ <= Inputs.Now_)
       continue;
     Active.rewind();
     const Rank Here = rankOf(Active.find(Wish.Team_), Wish.Class_, Inputs.Now_,
@@ -197,7 +198,7 @@
   return Result;
 }
 
-const Ticket *PoolQueue::urgentSince(TimePoint Since) const {
+const Ticket *PoolQueue::urgentWaitingSince(TimePoint Since) const {
   constexpr auto Urgent = static_cast<std::size_t>(RequestClass::Urgent);
   for (const auto &[Team, Queue] : Teams_)
     for (TicketId Id : Queue.ByClass_[Urgent])
--- a/src/sharing/poolqueue.h
+++ b/src/sharing/poolqueue.h
@@ -47,12 +47,12 @@
   std::vector<TicketId> expire(TimePoint Now);
 
   /// Notes a peer's wish; it replaces the peer's former one for the team.
-  void wish(const PeerWish &Item);
+  void addBorrowRequest(const BorrowRequest &Item);
   /// One slot was given to a wish.
-  void granted(const PeerWish &Item);
+  void recordGrant(const BorrowRequest &Item);
 
   /// Who should get the next free slot. A chosen ticket stays until cancel().
-  Choice choose(const ShareInputs &Inputs) const;
+  SlotRecipient selectNext(const ShareInputs &Inputs) const;
 
   std::size_t size() const { return Tickets_.size(); }
   std::uint32_t waiting(const TeamName &Team) const;
@@ -60,7 +60,7 @@
   /// Teams that wait here.
   std::vector<TeamName> teams() const;
   /// Oldest urgent request that has waited since before \p Since.
-  const Ticket *urgentSince(TimePoint Since) const;
+  const Ticket *urgentWaitingSince(TimePoint Since) const;
 
 private:
   struct TeamQueue {
@@ -75,7 +75,7 @@
   std::uint32_t Limit_;
   std::unordered_map<TicketId, Ticket> Tickets_;
   std::map<TeamName, TeamQueue> Teams_;
-  std::vector<PeerWish> Wishes_;
+  std::vector<BorrowRequest> BorrowRequests_;
 };
 
 } // namespace laburnumspread::sharing
--- a/src/sharing/sharingtypes.h
+++ b/src/sharing/sharingtypes.h
@@ -27,7 +27,7 @@
 };
 
 /// A peer's wish for a slot of a pool, for a request that waits there.
-struct PeerWish {
+struct BorrowRequest {
   MemberId From_;
   TeamName Team_;
   RequestClass Class_ = RequestClass::Normal;
@@ -35,10 +35,10 @@
   /// The slot is wanted until then.
   TimePoint Until_{};
   /// The wish itself lapses then; the peer repeats it while it holds.
-  TimePoint LapsesAt_{};
+  TimePoint ExpiresAt_{};
 };
 
 /// Who gets the next free slot.
-using Choice = std::variant<std::monostate, Ticket, PeerWish>;
+using SlotRecipient = std::variant<std::monostate, Ticket, BorrowRequest>;
 
 } // namespace laburnumspread::sharing
--- a/src/sharing/tests/poolqueuetest.cpp
+++ b/src/sharing/tests/poolqueuetest.cpp
@@ -28,10 +28,10 @@
     return Item.Id_;
   }
 
-  Choice choose() {
-    return Queue_.choose({Usage_, Orders, PoolSlots,
-                          [&](const TeamName &T) { return Weights_[T]; },
-                          [](const TeamName &) { return true; }, Start});
+  SlotRecipient choose() {
+    return Queue_.selectNext({Usage_, Orders, PoolSlots,
+                              [&](const TeamName &T) { return Weights_[T]; },
+                              [](const TeamName &) { return true; }, Start});
   }
 
   /// Starts what is chosen; returns its team.
@@ -75,9 +75,10 @@
   const MemberId Peer{EntryName("p"), Incarnation(1)};
   push(Big);
   push(Small);
-  Usage_.heard(Peer, {{Orders, Big, {30, 0}}, {Orders, Small, {5, 0}}});
+  Usage_.replacePeerRows(Peer,
+                         {{Orders, Big, {30, 0}}, {Orders, Small, {5, 0}}});
   BOOST_TEST(startNext() == Small);
-  Usage_.forget(Peer);
+  Usage_.removePeer(Peer);
   BOOST_TEST(Usage_.total(Orders, Big).Running_ == 0u);
 }
 
@@ -99,17 +100,17 @@
 BOOST_FIXTURE_TEST_CASE(PeerBelowShareIsServedBeforeOwnWaiters, Fixture) {
   Usage_.addRunning(Orders, Big, 30);
   push(Big);
-  PeerWish Wish;
+  BorrowRequest Wish;
   Wish.From_ = {EntryName("p"), Incarnation(1)};
   Wish.Team_ = Small;
   Wish.Count_ = 1;
-  Wish.LapsesAt_ = Start + 1s;
-  Queue_.wish(Wish);
-  BOOST_TEST(std::holds_alternative<PeerWish>(choose()));
-  Queue_.granted(Wish);
+  Wish.ExpiresAt_ = Start + 1s;
+  Queue_.addBorrowRequest(Wish);
+  BOOST_TEST(std::holds_alternative<BorrowRequest>(choose()));
+  Queue_.recordGrant(Wish);
   BOOST_TEST(std::holds_alternative<Ticket>(choose()));
-  Wish.LapsesAt_ = Start;
-  Queue_.wish(Wish);
+  Wish.ExpiresAt_ = Start;
+  Queue_.addBorrowRequest(Wish);
   BOOST_TEST(std::holds_alternative<Ticket>(choose()));
 }
 
@@ -143,8 +144,9 @@
 // teams stands, and a row of zeros takes one back.
 BOOST_FIXTURE_TEST_CASE(ChangedRowsLeaveTheOthersStanding, Fixture) {
   const MemberId Peer{EntryName("p"), Incarnation(1)};
-  Usage_.heard(Peer, {{Orders, Big, {30, 0}}, {Orders, Small, {5, 0}}});
-  Usage_.update(Peer, {{Orders, Big, {0, 0}}});
+  Usage_.replacePeerRows(Peer,
+                         {{Orders, Big, {30, 0}}, {Orders, Small, {5, 0}}});
+  Usage_.updatePeerRows(Peer, {{Orders, Big, {0, 0}}});
   BOOST_TEST(Usage_.total(Orders, Big).Running_ == 0u);
   BOOST_TEST(Usage_.total(Orders, Small).Running_ == 5u);
   Usage_.addRunning(Orders, Big, 2);
@@ -153,8 +155,8 @@
   Usage_.addRunning(Orders, Big, -2);
   const auto Changed = Usage_.takeChanged(9);
   BOOST_REQUIRE(Changed.size() == 1u);
-  BOOST_TEST(Changed[0].Use_.Running_ == 0u);
-  BOOST_TEST(Usage_.own().empty());
+  BOOST_TEST(Changed[0].Usage_.Running_ == 0u);
+  BOOST_TEST(Usage_.localRows().empty());
 }
 
 // More rows change than a heartbeat may carry. Those of full pools go first,
