--- a/bench/micro/plannerbench.cpp
+++ b/bench/micro/plannerbench.cpp
@@ -97,16 +97,17 @@
 void heartbeat(benchmark::State &State) {
   peers::Heartbeat Beat;
   for (std::int64_t I = 0; I < State.range(0); ++I)
-    Beat.Use_.push_back({fleet::PoolName("pool-" + std::to_string(I % 54)),
-                         fleet::TeamName("team-" + std::to_string(I)), 3, 1});
-  peers::Letter Letter;
-  Letter.From_.Id_ = memberId(0);
-  Letter.From_.Address_ = "10.0.0.1:7000";
-  Letter.To_ = memberId(1);
-  Letter.Message_ = Beat;
+    Beat.PoolUsage_.push_back(
+        {fleet::PoolName("pool-" + std::to_string(I % 54)),
+         fleet::TeamName("team-" + std::to_string(I)), 3, 1});
+  peers::Envelope Envelope;
+  Envelope.From_.Id_ = memberId(0);
+  Envelope.From_.Address_ = "10.0.0.1:7000";
+  Envelope.To_ = memberId(1);
+  Envelope.Message_ = Beat;
   std::size_t Bytes = 0;
   for (auto _ : State) {
-    const std::string Text = peers::encode(Letter);
+    const std::string Text = peers::encode(Envelope);
     Bytes = Text.size();
     benchmark::DoNotOptimize(peers::decode(Text));
   }
--- a/bench/policy/moves.cpp
+++ b/bench/policy/moves.cpp
@@ -57,7 +57,7 @@
   std::uint32_t slots(const std::string &Pool) const {
     std::uint32_t Sum = 0;
     for (const auto &[Name, Vm] : Tables_.Vms_)
-      if (fleet::poolOf(Vm).str() == Pool)
+      if (fleet::currentPool(Vm).str() == Pool)
         Sum += SlotsPerVm;
     return Sum;
   }
@@ -120,10 +120,10 @@
   std::vector<pools::Move> Result;
   std::map<std::string, int> Slots;
   for (const auto &[Name, Vm] : Seen.Tables_.Vms_)
-    Slots[fleet::poolOf(Vm).str()] += SlotsPerVm;
+    Slots[fleet::currentPool(Vm).str()] += SlotsPerVm;
   const PoolName Spare(poolName(WorkPools));
   for (const auto &[Name, Vm] : Seen.Tables_.Vms_) {
-    const PoolName &Now = fleet::poolOf(Vm);
+    const PoolName &Now = fleet::currentPool(Vm);
     const auto Work = Seen.Demand_(Now);
     if (!Vm.Status_.LentTo_.empty() &&
         static_cast<int>(Work.Running_ + SlotsPerVm) <= Slots[Now.str()]) {
--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -62,10 +62,10 @@
 }
 
 void peers(std::string_view Bytes) {
-  const auto Letter = peers::decode(Bytes);
-  if (!Letter.ok())
+  const auto Envelope = peers::decode(Bytes);
+  if (!Envelope.ok())
     return;
-  require(peers::decode(peers::encode(*Letter)).ok());
+  require(peers::decode(peers::encode(*Envelope)).ok());
 }
 
 void store(std::string_view Bytes) {
--- a/src/api/internal/callerapi.cpp
+++ b/src/api/internal/callerapi.cpp
@@ -222,8 +222,8 @@
   const auto Name = idempotency::recordName(*Team, *Key);
   const bool Here = Context_.Runner_.cancel(Name);
   if (!Here)
-    for (const auto &Peer : Context_.State_.others())
-      Context_.State_.Send_(Peer.Id_, peers::Cancel{Name});
+    for (const auto &Peer : Context_.State_.otherMembers())
+      Context_.State_.Send_(Peer.Id_, peers::CancelRequest{Name});
   replyJson(
       Call, 202,
       boost::json::object{{"cancelled", Here ? "here" : "asked-all-entries"}});
--- a/src/api/internal/httpapi.cpp
+++ b/src/api/internal/httpapi.cpp
@@ -211,9 +211,9 @@
   Dump["leaving"] = State.Leaving_;
   Dump["fenced"] = State.fenced();
   Dump["storeInTouch"] = State.Contact_.storeInTouch(State.now());
-  Dump["refusesStore"] = State.Config_.refusesStore();
+  Dump["refusesStore"] = State.Config_.storeRolledBack();
   Dump["configRevision"] = State.Config_.revision().value();
-  Dump["unreadableValues"] = State.Config_.unreadable();
+  Dump["unreadableValues"] = State.Config_.unreadableValues();
   Dump["view"] =
       json::object{{"number", State.View_.Number_.value()},
                    {"settledThrough", State.View_.SettledThrough_.value()},
--- a/src/api/internal/operatorapi.cpp
+++ b/src/api/internal/operatorapi.cpp
@@ -156,7 +156,7 @@
                             : handleDecisions(Call, Path);
     return true;
   }
-  const std::optional<Kind> Of = fleet::kindNamed(Parts[1]);
+  const std::optional<Kind> Of = fleet::parseKind(Parts[1]);
   if (!Of)
     return false;
   if (!admit(Call))
@@ -185,11 +185,11 @@
   json::object &Status = Result["status"].as_object();
   if (!Status.contains("conditions"))
     Status["conditions"] = json::array();
-  const auto Has = Context_.Membership_.inForce(InForce);
+  const auto Has = Context_.Membership_.configRollout(InForce);
   Status["conditions"].as_array().push_back(
       conditionJson("InForce", Has.Awaited_.empty(),
                     Has.Awaited_.empty() ? "AllEntries" : "EntriesAwaited",
-                    Has.Awaited_.empty() ? "in force on " + joined(Has.Have_)
+                    Has.Awaited_.empty() ? "in force on " + joined(Has.Applied_)
                                          : "awaiting " + joined(Has.Awaited_),
                     Object.Metadata_.Generation_.value()));
   return Result;
@@ -198,7 +198,7 @@
 template <typename T> void OperatorApi::list(Exchange &Call) {
   const auto &State = Context_.State_;
   json::array Items;
-  for (const auto &[Name, Object] : State.Config_.tables().of<T>())
+  for (const auto &[Name, Object] : State.Config_.tables().table<T>())
     Items.push_back(fleet::toJson(Object));
   replyJson(
       Call, 200,
@@ -215,8 +215,9 @@
   const T *Object = Context_.State_.Config_.tables().find<T>(Name);
   if (!Object)
     return replyProblem(Call, ProblemCode::NotFound, "no such object");
-  json::object Body = withStatus(*Object, Context_.State_.Config_.inForceAt(
-                                              fleet::KindOf<T>::Value, Name));
+  json::object Body = withStatus(
+      *Object,
+      Context_.State_.Config_.lastWriteRevision(fleet::KindOf<T>::Value, Name));
   if constexpr (std::is_same_v<T, fleet::Vm>)
     addDrain(Body, *Object);
   replyJson(Call, 200, Body);
@@ -224,9 +225,10 @@
 
 /// How far a VM's drain has come, whoever asked for it.
 void OperatorApi::addDrain(json::object &Body, const fleet::Vm &Object) const {
-  const auto Drain = Context_.Membership_.drainState(
-      fleet::VmName(Object.Metadata_.Name_),
-      Context_.State_.Config_.inForceAt(Kind::Vms, Object.Metadata_.Name_));
+  const auto Drain =
+      Context_.Membership_.drainState(fleet::VmName(Object.Metadata_.Name_),
+                                      Context_.State_.Config_.lastWriteRevision(
+                                          Kind::Vms, Object.Metadata_.Name_));
   json::array Awaited;
   for (const std::string &Name : Drain.Awaited_)
     Awaited.emplace_back(Name);
@@ -260,7 +262,8 @@
 }
 
 template <typename T>
-void OperatorApi::replyWritten(Exchange &Call, const config::Written<T> &Done,
+void OperatorApi::replyWritten(Exchange &Call,
+                               const config::WriteResult<T> &Done,
                                bool DryRun) {
   if (!DryRun && Done.Changed_)
     // The writer's own entry must not lag behind its answer.
@@ -441,7 +444,7 @@
 
 void OperatorApi::watchDecisions(Exchange &Call, std::uint64_t Since) {
   const auto &Log = Context_.State_.Decisions_;
-  if (Since > 0 && Since + 1 < Log.firstKept())
+  if (Since > 0 && Since + 1 < Log.oldestSequence())
     return replyProblem(Call, ProblemCode::Gone,
                         "earlier decisions are no longer kept");
   LineStream Stream(*this, Call);
--- a/src/api/internal/validation.cpp
+++ b/src/api/internal/validation.cpp
@@ -20,7 +20,7 @@
 bool isOver(const fleet::Wave &Wave) {
   return Wave.Status_.Phase_ == fleet::WavePhase::Complete ||
          Wave.Status_.Phase_ == fleet::WavePhase::Cancelled ||
-         Wave.Spec_.Run_ == fleet::WaveRun::Cancel;
+         Wave.Spec_.Command_ == fleet::WaveCommand::Cancel;
 }
 
 bool overlap(const fleet::Wave &A, const fleet::Wave &B) {
@@ -37,7 +37,7 @@
                  FieldErrors &Errors) {
   const auto *Declared = Tables.find<fleet::Pool>(Pool.str());
   const std::uint32_t Vms = vmsIn(Tables, Pool);
-  if (!Declared || Vms == 0 || Declared->Spec_.Budget_.Pool_.of(Vms) > 0)
+  if (!Declared || Vms == 0 || Declared->Spec_.Budget_.Pool_.resolve(Vms) > 0)
     return;
   Errors.push_back(
       {"spec.pools",
@@ -88,7 +88,7 @@
       Errors.push_back({"spec.pools", "there is no pool " + Pool.str()});
     checkBudget(Tables, Pool, Errors);
   }
-  if (Object.Spec_.Run_ == fleet::WaveRun::Cancel)
+  if (Object.Spec_.Command_ == fleet::WaveCommand::Cancel)
     return Errors;
   for (const auto &[Name, Other] : Tables.Waves_)
     if (Name != Object.Metadata_.Name_ && !isOver(Other) &&
--- a/src/api/operatorapi.h
+++ b/src/api/operatorapi.h
@@ -35,7 +35,7 @@
               const framework::http::Target &Path);
   template <typename T>
   void replyWritten(framework::http::Exchange &Call,
-                    const config::Written<T> &Done, bool DryRun);
+                    const config::WriteResult<T> &Done, bool DryRun);
   template <typename T>
   boost::json::object withStatus(const T &Object, fleet::Revision InForce);
 
--- a/src/app/internal/cellapp.cpp
+++ b/src/app/internal/cellapp.cpp
@@ -143,14 +143,14 @@
            Intake_.recentlyConfirmed();
   }
 
-  void offerLeadership(const peers::HeadOffer &Offer) {
+  void offerLeadership(const peers::LeadershipOffer &Offer) {
     for (const auto &[Name, Peer] : Heard_)
       Mesh_.send(Peer.Id_, Peer.Address_, Offer);
   }
 
   void receive(const peers::Sender &From, const peers::Message &Body) {
     Heard_[From.Id_.Name_] = From;
-    if (const auto *Offer = std::get_if<peers::HeadOffer>(&Body))
+    if (const auto *Offer = std::get_if<peers::LeadershipOffer>(&Body))
       return Cell_.takeOffer(*Offer);
     if (const auto *Call = std::get_if<peers::JobCall>(&Body)) {
       Intake_.recordPeerVersion(jobs::ConfigVersion(Call->ConfigVersion_));
@@ -225,7 +225,7 @@
     if (absl::Status Bound = Server->listen(At); !Bound.ok())
       return Bound;
   P.Cell_.setOffer(
-      [&P](const peers::HeadOffer &Offer) { P.offerLeadership(Offer); });
+      [&P](const peers::LeadershipOffer &Offer) { P.offerLeadership(Offer); });
   P.Cell_.start(P.Mesh_.advertised().str());
   framework::fibers::spawn([&P] { P.Follower_.follow(); });
   return absl::OkStatus();
--- a/src/app/internal/entryapp.cpp
+++ b/src/app/internal/entryapp.cpp
@@ -143,22 +143,22 @@
   void dispatch(const peers::Sender &From, const peers::Snapshot &Item) {
     Config_.handle(From, Item);
   }
-  void dispatch(const peers::Sender &From, const peers::Borrow &Item) {
+  void dispatch(const peers::Sender &From, const peers::BorrowRequest &Item) {
     Placements_.handle(From, Item);
   }
-  void dispatch(const peers::Sender &From, const peers::Grant &Item) {
+  void dispatch(const peers::Sender &From, const peers::LoanGrant &Item) {
     Placements_.handle(From, Item);
   }
-  void dispatch(const peers::Sender &From, const peers::Return &Item) {
+  void dispatch(const peers::Sender &From, const peers::LoanReturn &Item) {
     Placements_.handle(From, Item);
   }
-  void dispatch(const peers::Sender &, const peers::Cancel &Item) {
+  void dispatch(const peers::Sender &, const peers::CancelRequest &Item) {
     Runner_.cancel(Item.Name_);
   }
   /// Jobs are served by cell entries only.
   void dispatch(const peers::Sender &, const peers::JobCall &) {}
   void dispatch(const peers::Sender &, const peers::JobReply &) {}
-  void dispatch(const peers::Sender &, const peers::HeadOffer &) {}
+  void dispatch(const peers::Sender &, const peers::LeadershipOffer &) {}
   template <typename Message>
   void dispatch(const peers::Sender &From, const Message &Item) {
     Reservations_.handle(From, Item);
--- a/src/cell/callcheck.h
+++ b/src/cell/callcheck.h
@@ -13,7 +13,7 @@
 ///
 /// Guards against an entry without the store that keeps accepting calls for
 /// removed queues and withdrawn keys.
-std::optional<peers::JobVerdict>
+std::optional<peers::JobCallStatus>
 refusalByNewerConfig(const CellConfig &InForce, const peers::JobCall &Call);
 
 } // namespace laburnumspread::cell
--- a/src/cell/cellservice.h
+++ b/src/cell/cellservice.h
@@ -58,7 +58,9 @@
   void setOffer(OfferFn Offer) { Head_.setOffer(std::move(Offer)); }
 
   /// The holder with this token cannot reach the store and lets others lead.
-  void takeOffer(const peers::HeadOffer &Offer) { Head_.takeOffer(Offer); }
+  void takeOffer(const peers::LeadershipOffer &Offer) {
+    Head_.takeOffer(Offer);
+  }
 
   /// Bounds of the terms that begin from now on: what runs under the present
   /// one has been given its leases by the old ones.
@@ -95,7 +97,7 @@
   /// Serves a call if this entry leads; \p Reply may run later, once.
   void handle(const peers::JobCall &Call, const JobReplyFn &Reply) {
     if (!leads())
-      return Reply({Call.Sequence_, peers::JobVerdict::NotHolder, "", 0, 0});
+      return Reply({Call.Sequence_, peers::JobCallStatus::NotLeader, "", 0, 0});
     const auto ReplyWithVersion =
         [Reply, Version = Config_.Version_.value()](peers::JobReply Answer) {
           Answer.ConfigVersion_ = Version;
@@ -120,7 +122,7 @@
 
   /// Returns the verdict to refuse a call with under a newer configuration, or
   /// nullopt. A resent submission whose job is already stored is not refused.
-  std::optional<peers::JobVerdict>
+  std::optional<peers::JobCallStatus>
   refusalFor(const peers::JobCall &Call) const {
     const auto Refusal = refusalByNewerConfig(Config_, Call);
     if (!Refusal || (Call.Kind_ == peers::JobCallKind::Submit &&
--- a/src/cell/headkeeper.h
+++ b/src/cell/headkeeper.h
@@ -60,7 +60,7 @@
   /// Time of a peer for its look at the head; past it the offer is old.
   static constexpr Duration OfferTime = std::chrono::milliseconds(300);
 
-  using OfferFn = std::function<void(const peers::HeadOffer &)>;
+  using OfferFn = std::function<void(const peers::LeadershipOffer &)>;
 
   HeadKeeper(Store &S, const journal::CellKeys &Keys, journal::Holder Self,
              Candidacy Mine, HeadEvents Events)
@@ -98,7 +98,7 @@
   void setOffer(OfferFn Offer) { Offer_ = std::move(Offer); }
 
   /// The holder with this token cannot reach the store and lets others lead.
-  void takeOffer(const peers::HeadOffer &Offer) {
+  void takeOffer(const peers::LeadershipOffer &Offer) {
     if (Leaving_ || Lead_.held() || Campaigning_ ||
         now() - StoreFailedAt_ < OwnTrouble)
       return;
--- a/src/cell/internal/callcheck.cpp
+++ b/src/cell/internal/callcheck.cpp
@@ -2,7 +2,7 @@
 
 namespace laburnumspread::cell {
 
-std::optional<peers::JobVerdict>
+std::optional<peers::JobCallStatus>
 refusalByNewerConfig(const CellConfig &InForce, const peers::JobCall &Call) {
   if (Call.ConfigVersion_ >= InForce.Version_.value())
     return std::nullopt;
@@ -11,11 +11,11 @@
   const QueueConfig *Queue =
       InForce.route(Call.Origin_->Host_, Call.Origin_->Path_);
   if (!Queue)
-    return peers::JobVerdict::NoSuchQueue;
+    return peers::JobCallStatus::NoSuchQueue;
   if (Queue->Name_.str() != Call.Queue_)
-    return peers::JobVerdict::Refused;
+    return peers::JobCallStatus::Refused;
   if (!InForce.workspaceOf(Call.Origin_->Key_, *Queue))
-    return peers::JobVerdict::UnknownKey;
+    return peers::JobCallStatus::UnknownKey;
   return std::nullopt;
 }
 
--- a/src/cell/internal/callrouter.cpp
+++ b/src/cell/internal/callrouter.cpp
@@ -5,8 +5,8 @@
 namespace laburnumspread::cell {
 
 using framework::clock::SteadyClock;
+using peers::JobCallStatus;
 using peers::JobReply;
-using peers::JobVerdict;
 
 JobReply CallRouter::call(peers::JobCall Call, TimePoint HolderBy,
                           TimePoint Deadline) {
@@ -34,7 +34,7 @@
         std::min<Duration>(ResendEvery, Deadline - SteadyClock().now());
     if (!Mine->Reply_)
       Mine->Wake_->waitUntil(framework::clock::wallDeadline(Wait));
-    if (Mine->Reply_ && Mine->Reply_->Verdict_ != JobVerdict::NotHolder) {
+    if (Mine->Reply_ && Mine->Reply_->Status_ != JobCallStatus::NotLeader) {
       Answer = *Mine->Reply_;
       break;
     }
@@ -49,8 +49,8 @@
   if (Answer)
     return *Answer;
   JobReply Result;
-  Result.Verdict_ =
-      Fate.mayBeTaken() ? JobVerdict::Unknown : JobVerdict::Refused;
+  Result.Status_ =
+      Fate.mayBeTaken() ? JobCallStatus::Unknown : JobCallStatus::Refused;
   return Result;
 }
 
--- a/src/cell/internal/intake.cpp
+++ b/src/cell/internal/intake.cpp
@@ -9,7 +9,7 @@
 
 using framework::clock::SteadyClock;
 using peers::JobCallKind;
-using peers::JobVerdict;
+using peers::JobCallStatus;
 
 namespace {
 
@@ -140,27 +140,27 @@
       Router_.call(std::move(Call), Now + HolderPatience, Now + Patience);
   recordPeerVersion(ConfigVersion(Reply.ConfigVersion_));
   CallerAnswer Result;
-  switch (Reply.Verdict_) {
-  case JobVerdict::Ok:
+  switch (Reply.Status_) {
+  case JobCallStatus::Ok:
     Result.Status_ = Kind == JobCallKind::State     ? CallerStatus::State
                      : Kind == JobCallKind::Waiting ? CallerStatus::Waiting
                                                     : CallerStatus::Accepted;
     Result.State_ = Reply.State_;
     Result.Waiting_ = Reply.Waiting_;
     return Result;
-  case JobVerdict::NoSuchQueue:
+  case JobCallStatus::NoSuchQueue:
     return answer(CallerStatus::NoSuchQueue, "no queue at this path");
-  case JobVerdict::UnknownKey:
+  case JobCallStatus::UnknownKey:
     return answer(CallerStatus::UnknownKey, "key is not known");
-  case JobVerdict::Missing:
+  case JobCallStatus::Missing:
     return answer(CallerStatus::NoSuchJob, "no such job");
-  case JobVerdict::Refused:
+  case JobCallStatus::Refused:
     Result = notNow("jobs cannot be stored at present");
     if (Reply.RetryAfterMs_ > 0)
       Result.RetryAfter_ = std::chrono::milliseconds(Reply.RetryAfterMs_);
     return Result;
-  case JobVerdict::Unknown:
-  case JobVerdict::NotHolder:
+  case JobCallStatus::Unknown:
+  case JobCallStatus::NotLeader:
     return answer(CallerStatus::Unknown, "the outcome is not known");
   }
   return answer(CallerStatus::Unknown);
--- a/src/cell/jobcalls.h
+++ b/src/cell/jobcalls.h
@@ -31,7 +31,7 @@
     case peers::JobCallKind::Cancel:
       return cancel(Call, Reply);
     case peers::JobCallKind::Waiting:
-      return Reply({Call.Sequence_, peers::JobVerdict::Ok, "",
+      return Reply({Call.Sequence_, peers::JobCallStatus::Ok, "",
                     Term_->Table_.waiting(QueueName(Call.Queue_)), 0});
     }
   }
@@ -46,8 +46,8 @@
               const JobReplyFn &Reply) {
     auto Answer = [Reply, Sequence = Call.Sequence_](CommitOutcome Outcome) {
       Reply({Sequence,
-             Outcome == CommitOutcome::Stored ? peers::JobVerdict::Ok
-                                              : peers::JobVerdict::Unknown,
+             Outcome == CommitOutcome::Stored ? peers::JobCallStatus::Ok
+                                              : peers::JobCallStatus::Unknown,
              "", 0, 0});
     };
     if (Term_->Table_.find(jobs::JobId(Call.Job_)))
@@ -55,12 +55,12 @@
     const auto Group = jobs::decodeGroup(Call.Spec_);
     if (!Group.ok() || Group->Events_.size() != 1 ||
         !std::holds_alternative<jobs::JobAccepted>(Group->Events_.front()))
-      return Reply({Call.Sequence_, peers::JobVerdict::Missing, "", 0, 0});
+      return Reply({Call.Sequence_, peers::JobCallStatus::Missing, "", 0, 0});
     if (storeSilent() || Leaving) {
       framework::log::info("job.refused")
           .field("job", Call.Job_)
           .field("reason", "the store does not answer");
-      return Reply({Call.Sequence_, peers::JobVerdict::Refused, "", 0,
+      return Reply({Call.Sequence_, peers::JobCallStatus::Refused, "", 0,
                     RetryAfterOutageMs});
     }
     const jobs::Event &Accepted = Group->Events_.front();
@@ -95,9 +95,9 @@
   void state(const peers::JobCall &Call, const JobReplyFn &Reply) {
     const jobs::JobRow *Job = Term_->Table_.find(jobs::JobId(Call.Job_));
     if (!Job)
-      return Reply({Call.Sequence_, peers::JobVerdict::Missing, "", 0, 0});
+      return Reply({Call.Sequence_, peers::JobCallStatus::Missing, "", 0, 0});
     const auto Tell = [&](jobs::JobState State) {
-      Reply({Call.Sequence_, peers::JobVerdict::Ok,
+      Reply({Call.Sequence_, peers::JobCallStatus::Ok,
              std::string(jobs::nameOf(State)), 0, 0});
     };
     if (!Job->ended() || Term_->Commits_.idle())
@@ -109,7 +109,7 @@
                                 State = Job->State_](CommitOutcome Outcome) {
       const bool Lasts = Outcome == CommitOutcome::Stored;
       Reply({Sequence,
-             Lasts ? peers::JobVerdict::Ok : peers::JobVerdict::Unknown,
+             Lasts ? peers::JobCallStatus::Ok : peers::JobCallStatus::Unknown,
              std::string(jobs::nameOf(State)), 0, 0});
     });
   }
@@ -118,11 +118,11 @@
     const jobs::JobId Id(Call.Job_);
     const jobs::JobRow *Job = Term_->Table_.find(Id);
     if (!Job)
-      return Reply({Call.Sequence_, peers::JobVerdict::Missing, "", 0, 0});
+      return Reply({Call.Sequence_, peers::JobCallStatus::Missing, "", 0, 0});
     auto Answer = [Reply, Sequence = Call.Sequence_](CommitOutcome Outcome) {
       Reply({Sequence,
-             Outcome == CommitOutcome::Stored ? peers::JobVerdict::Ok
-                                              : peers::JobVerdict::Unknown,
+             Outcome == CommitOutcome::Stored ? peers::JobCallStatus::Ok
+                                              : peers::JobCallStatus::Unknown,
              "", 0, 0});
     };
     if (Job->ended()) {
--- a/src/cell/tests/callchecktest.cpp
+++ b/src/cell/tests/callchecktest.cpp
@@ -41,7 +41,7 @@
 // Guards against calls for a removed queue from an entry that still has it.
 BOOST_AUTO_TEST_CASE(QueueThatANewerVersionRemovedIsRefused) {
   BOOST_TEST((refusalByNewerConfig(config(false), call("/gone/1", Key, 6)) ==
-              peers::JobVerdict::NoSuchQueue));
+              peers::JobCallStatus::NoSuchQueue));
 }
 
 // Guards against serving a call from a queue that its path no longer routes to.
@@ -50,13 +50,13 @@
   peers::JobCall Call = call("/q/1", Key, 6);
   Call.Queue_ = "former";
   BOOST_TEST((refusalByNewerConfig(config(false), Call) ==
-              peers::JobVerdict::Refused));
+              peers::JobCallStatus::Refused));
 }
 
 // Guards against calls with a withdrawn key from an entry that still has it.
 BOOST_AUTO_TEST_CASE(KeyThatANewerVersionWithdrewIsRefused) {
   BOOST_TEST((refusalByNewerConfig(config(false), call("/q/1", "old", 6)) ==
-              peers::JobVerdict::UnknownKey));
+              peers::JobCallStatus::UnknownKey));
   BOOST_TEST(!refusalByNewerConfig(config(false), call("/q/1", Key, 6)));
   BOOST_TEST(!refusalByNewerConfig(config(true), call("/q/1", "old", 6)));
 }
--- a/src/cell/tests/callfatetest.cpp
+++ b/src/cell/tests/callfatetest.cpp
@@ -38,7 +38,7 @@
                      [](const journal::Holder &, const peers::JobCall &) {}});
   const TimePoint Past = framework::clock::SteadyClock().now();
   const peers::JobReply Reply = Router.call({}, Past, Past);
-  BOOST_TEST((Reply.Verdict_ == peers::JobVerdict::Refused));
+  BOOST_TEST((Reply.Status_ == peers::JobCallStatus::Refused));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/config/changelog.h
+++ b/src/config/changelog.h
@@ -26,12 +26,12 @@
   Revision through() const { return Through_; }
 
   /// Everything after this revision is kept.
-  Revision keptSince() const { return KeptSince_; }
+  Revision compactedThrough() const { return CompactedThrough_; }
 
 private:
   std::deque<Change> Changes_;
   Revision Through_;
-  Revision KeptSince_;
+  Revision CompactedThrough_;
   bool Started_ = false;
 };
 
--- a/src/config/configtable.h
+++ b/src/config/configtable.h
@@ -29,19 +29,19 @@
   /// A store that answers with a revision below the one in force has lost
   /// writes that were accepted (it was restored from a backup, say). Returns
   /// true and stays set: nothing of it is taken any more.
-  bool storeWentBack(Revision StoreRevision);
-  bool refusesStore() const { return StoreWentBack_; }
+  bool detectStoreRollback(Revision StoreRevision);
+  bool storeRolledBack() const { return StoreRolledBack_; }
 
   /// A revision at which every entry that has it in force knows the object as
   /// it stands: that of the last write to the value that holds it. The
   /// object's own resource version may be lower than that of its write.
-  Revision inForceAt(Kind Of, std::string_view Name) const;
+  Revision lastWriteRevision(Kind Of, std::string_view Name) const;
 
   const FleetTables &tables() const { return Tables_; }
   Revision revision() const { return Revision_; }
   const std::string &prefix() const { return Prefix_; }
   /// Shard values that could not be read; the version before stays in force.
-  std::uint64_t unreadable() const { return Unreadable_; }
+  std::uint64_t unreadableValues() const { return UnreadableValues_; }
 
 private:
   struct Shard {
@@ -61,8 +61,8 @@
   std::unordered_map<std::string, Shard> Shards_;
   FleetTables Tables_;
   Revision Revision_;
-  std::uint64_t Unreadable_ = 0;
-  bool StoreWentBack_ = false;
+  std::uint64_t UnreadableValues_ = 0;
+  bool StoreRolledBack_ = false;
 };
 
 } // namespace laburnumspread::config
--- a/src/config/fleettables.h
+++ b/src/config/fleettables.h
@@ -20,21 +20,21 @@
   /// Key names by the hash of their secret.
   std::map<std::string, std::string, std::less<>> KeyBySecret_;
 
-  template <typename T> Table<T> &of();
-  template <typename T> const Table<T> &of() const {
-    return const_cast<FleetTables *>(this)->of<T>();
+  template <typename T> Table<T> &table();
+  template <typename T> const Table<T> &table() const {
+    return const_cast<FleetTables *>(this)->table<T>();
   }
   template <typename T> const T *find(std::string_view Name) const {
-    const auto At = of<T>().find(Name);
-    return At == of<T>().end() ? nullptr : &At->second;
+    const auto At = table<T>().find(Name);
+    return At == table<T>().end() ? nullptr : &At->second;
   }
 };
 
-template <> inline Table<fleet::Pool> &FleetTables::of() { return Pools_; }
-template <> inline Table<fleet::Vm> &FleetTables::of() { return Vms_; }
-template <> inline Table<fleet::Team> &FleetTables::of() { return Teams_; }
-template <> inline Table<fleet::Key> &FleetTables::of() { return Keys_; }
-template <> inline Table<fleet::Wave> &FleetTables::of() { return Waves_; }
+template <> inline Table<fleet::Pool> &FleetTables::table() { return Pools_; }
+template <> inline Table<fleet::Vm> &FleetTables::table() { return Vms_; }
+template <> inline Table<fleet::Team> &FleetTables::table() { return Teams_; }
+template <> inline Table<fleet::Key> &FleetTables::table() { return Keys_; }
+template <> inline Table<fleet::Wave> &FleetTables::table() { return Waves_; }
 
 /// Calls \p Visit with a null pointer of the C++ type of \p Of.
 template <typename Visitor>
--- a/src/config/internal/changelog.cpp
+++ b/src/config/internal/changelog.cpp
@@ -8,13 +8,13 @@
   if (!Started_ && Through.value() > 0) {
     // What led to the first revision was never seen as changes.
     Started_ = true;
-    KeptSince_ = Through_ = Through;
+    CompactedThrough_ = Through_ = Through;
     return;
   }
   for (Change &Item : Changes)
     Changes_.push_back(std::move(Item));
   while (Changes_.size() > Kept) {
-    KeptSince_ = Changes_.front().Revision_;
+    CompactedThrough_ = Changes_.front().Revision_;
     Changes_.pop_front();
   }
   Through_ = std::max(Through_, Through);
@@ -22,7 +22,7 @@
 
 std::optional<std::vector<Change>> ChangeLog::since(Kind Of,
                                                     Revision Since) const {
-  if (Since < KeptSince_)
+  if (Since < CompactedThrough_)
     return std::nullopt;
   std::vector<Change> Result;
   for (const Change &Item : Changes_)
--- a/src/config/internal/configtable.cpp
+++ b/src/config/internal/configtable.cpp
@@ -21,14 +21,14 @@
   return Items ? Items->if_object() : nullptr;
 }
 
-void indexSecret(FleetTables &, const std::string &, const auto &) {}
-void indexSecret(FleetTables &Tables, const std::string &Name,
-                 const fleet::Key &Object) {
+void indexKeyHash(FleetTables &, const std::string &, const auto &) {}
+void indexKeyHash(FleetTables &Tables, const std::string &Name,
+                  const fleet::Key &Object) {
   Tables.KeyBySecret_[Object.Spec_.Sha256_] = Name;
 }
 
-void unindexSecret(FleetTables &, const auto &) {}
-void unindexSecret(FleetTables &Tables, const fleet::Key &Object) {
+void unindexKeyHash(FleetTables &, const auto &) {}
+void unindexKeyHash(FleetTables &Tables, const fleet::Key &Object) {
   const auto At = Tables.KeyBySecret_.find(Object.Spec_.Sha256_);
   if (At != Tables.KeyBySecret_.end() && At->second == Object.Metadata_.Name_)
     Tables.KeyBySecret_.erase(At);
@@ -55,13 +55,13 @@
 template <typename T>
 void ConfigTable::remove(const std::string &Name, Revision At,
                          std::vector<Change> &Changes) {
-  auto &Rows = Tables_.of<T>();
+  auto &Rows = Tables_.table<T>();
   const auto Old = Rows.find(Name);
   if (Old == Rows.end())
     return;
   Changes.push_back({ChangeType::Deleted, fleet::KindOf<T>::Value, Name, At,
                      textOf(Old->second)});
-  unindexSecret(Tables_, Old->second);
+  unindexKeyHash(Tables_, Old->second);
   Rows.erase(Old);
 }
 
@@ -71,10 +71,10 @@
   const auto Document = framework::settings::parseJson(Item.Value_);
   const json::object *Items = Document.ok() ? itemsOf(*Document) : nullptr;
   if (!Items) {
-    ++Unreadable_;
+    ++UnreadableValues_;
     return;
   }
-  auto &Rows = Tables_.of<T>();
+  auto &Rows = Tables_.table<T>();
   std::vector<std::string> Names;
   for (const auto &Field : *Items) {
     std::string Name(Field.key());
@@ -82,7 +82,7 @@
     T Object = fleet::readStored<T>(Name, Field.value(), Errors);
     Names.push_back(Name);
     if (!Errors.empty()) {
-      ++Unreadable_;
+      ++UnreadableValues_;
       continue;
     }
     const auto Old = Rows.find(Name);
@@ -94,9 +94,9 @@
                        fleet::KindOf<T>::Value, Name, Item.ModRevision_,
                        textOf(Object)});
     if (!Added)
-      unindexSecret(Tables_, Old->second);
+      unindexKeyHash(Tables_, Old->second);
     T &Now = Rows[Name] = std::move(Object);
-    indexSecret(Tables_, Name, Now);
+    indexKeyHash(Tables_, Name, Now);
   }
   for (const std::string &Name : Into.Names_)
     if (std::find(Names.begin(), Names.end(), Name) == Names.end())
@@ -109,7 +109,7 @@
                    Revision Through) {
   std::vector<Change> Changes;
   for (const store::KeyValue &Item : Items) {
-    const std::optional<Kind> Of = kindOfShard(Prefix_, Item.Key_);
+    const std::optional<Kind> Of = kindOfShardKey(Prefix_, Item.Key_);
     if (!Of)
       continue;
     Shard &Into = Shards_[Item.Key_];
@@ -134,15 +134,15 @@
   return Result;
 }
 
-Revision ConfigTable::inForceAt(Kind Of, std::string_view Name) const {
+Revision ConfigTable::lastWriteRevision(Kind Of, std::string_view Name) const {
   const auto At = Shards_.find(shardKey(Prefix_, Of, Name));
   return At == Shards_.end() ? Revision_ : At->second.ModRevision_;
 }
 
-bool ConfigTable::storeWentBack(Revision StoreRevision) {
+bool ConfigTable::detectStoreRollback(Revision StoreRevision) {
   if (StoreRevision < Revision_)
-    StoreWentBack_ = true;
-  return StoreWentBack_;
+    StoreRolledBack_ = true;
+  return StoreRolledBack_;
 }
 
 } // namespace laburnumspread::config
--- a/src/config/internal/objectwriter.cpp
+++ b/src/config/internal/objectwriter.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Longest stored value; the platform takes up to a megabyte.
-constexpr std::size_t LongestShard = 256 * 1024;
+constexpr std::size_t MaxShardBytes = 256 * 1024;
 
 const store::KeyValue *findKey(const store::RangeResult &Read,
                                const std::string &Key) {
@@ -23,27 +23,27 @@
 
 } // namespace
 
-absl::StatusOr<OpenShard> openShard(const std::string &Key,
-                                    const store::RangeResult &Read) {
-  OpenShard Open;
-  Open.Stamp_ = Read.StoreRevision_.next();
-  Open.Before_.Key_ = Key;
+absl::StatusOr<LoadedShard> loadShard(const std::string &Key,
+                                      const store::RangeResult &Read) {
+  LoadedShard Open;
+  Open.NextResourceVersion_ = Read.StoreRevision_.next();
+  Open.Stored_.Key_ = Key;
   const store::KeyValue *Found = findKey(Read, Key);
   if (!Found)
     return Open;
-  Open.Before_ = *Found;
+  Open.Stored_ = *Found;
   absl::StatusOr<json::value> Document =
       framework::settings::parseJson(Found->Value_);
   if (!Document.ok() || !Document->is_object() ||
       !Document->get_object().contains("items"))
     return absl::DataLossError("stored value " + Key + " cannot be read");
   Open.Items_ = std::move(Document->get_object()["items"].as_object());
-  if (Found->Value_.size() > LongestShard)
+  if (Found->Value_.size() > MaxShardBytes)
     return absl::ResourceExhaustedError("stored value " + Key + " is full");
   return Open;
 }
 
-std::string shardText(const OpenShard &Open) {
+std::string serializeShard(const LoadedShard &Open) {
   json::object Whole;
   Whole["items"] = Open.Items_;
   // Tells this write from every other, also from one of the same content.
@@ -51,8 +51,8 @@
   return json::serialize(Whole);
 }
 
-bool holdsWrite(const store::RangeResult &Read, const std::string &Key,
-                std::string_view Wanted) {
+bool containsWrite(const store::RangeResult &Read, const std::string &Key,
+                   std::string_view Wanted) {
   const store::KeyValue *Found = findKey(Read, Key);
   return Found && Found->Value_ == Wanted;
 }
--- a/src/config/internal/shards.cpp
+++ b/src/config/internal/shards.cpp
@@ -34,13 +34,13 @@
          Number.data();
 }
 
-std::optional<fleet::Kind> kindOfShard(std::string_view Prefix,
-                                       std::string_view Key) {
+std::optional<fleet::Kind> kindOfShardKey(std::string_view Prefix,
+                                          std::string_view Key) {
   const std::string Start = configPrefix(Prefix);
   if (!Key.starts_with(Start))
     return std::nullopt;
   Key.remove_prefix(Start.size());
-  return fleet::kindNamed(Key.substr(0, Key.find('/')));
+  return fleet::parseKind(Key.substr(0, Key.find('/')));
 }
 
 } // namespace laburnumspread::config
--- a/src/config/objectwriter.h
+++ b/src/config/objectwriter.h
@@ -18,24 +18,24 @@
 namespace laburnumspread::config {
 
 /// A stored value while it is being changed.
-struct OpenShard {
-  store::KeyValue Before_;
+struct LoadedShard {
+  store::KeyValue Stored_;
   boost::json::object Items_;
   /// Larger than the resource version of any object in the value.
-  Revision Stamp_;
+  Revision NextResourceVersion_;
 };
 
-absl::StatusOr<OpenShard> openShard(const std::string &Key,
-                                    const store::RangeResult &Read);
-std::string shardText(const OpenShard &Open);
+absl::StatusOr<LoadedShard> loadShard(const std::string &Key,
+                                      const store::RangeResult &Read);
+std::string serializeShard(const LoadedShard &Open);
 
 /// Whether \p Read holds what \p Wanted would have written. Tells, after a
 /// write whose answer was lost, whether it took effect.
-bool holdsWrite(const store::RangeResult &Read, const std::string &Key,
-                std::string_view Wanted);
+bool containsWrite(const store::RangeResult &Read, const std::string &Key,
+                   std::string_view Wanted);
 
 /// What an accepted write made.
-template <typename T> struct Written {
+template <typename T> struct WriteResult {
   T Object_;
   /// Revision from which the change is in the store.
   Revision Revision_;
@@ -54,13 +54,13 @@
 
   /// Tries of one write against racing writers, and read-backs after a lost
   /// answer.
-  static constexpr int Tries = 8;
+  static constexpr int MaxAttempts = 8;
 
   /// Writes the spec of an object, making it if need be. Aborted when
   /// \p IfMatch is given and is not the object's resource version; nothing is
   /// written when the spec is as wanted already.
   template <typename T>
-  absl::StatusOr<Written<T>>
+  absl::StatusOr<WriteResult<T>>
   putSpec(const T &Wanted, std::optional<Revision> IfMatch, bool DryRun,
           framework::clock::TimePoint Deadline) {
     return change<T>(
@@ -84,7 +84,7 @@
 
   /// NotFound when there is no such object.
   template <typename T>
-  absl::StatusOr<Written<T>>
+  absl::StatusOr<WriteResult<T>>
   remove(const std::string &Name, std::optional<Revision> IfMatch, bool DryRun,
          framework::clock::TimePoint Deadline) {
     return change<T>(
@@ -105,18 +105,18 @@
   /// \p Guards must hold too when the write takes effect: a planner that was
   /// paused and has lost its lease changes nothing.
   template <typename T>
-  absl::StatusOr<Written<T>>
+  absl::StatusOr<WriteResult<T>>
   change(const std::string &Name,
          const std::function<absl::Status(std::optional<T> &)> &Edit,
          bool DryRun, framework::clock::TimePoint Deadline,
          const std::vector<store::Compare> &Guards = {}) {
     const std::string Key = shardKey(Prefix_, fleet::KindOf<T>::Value, Name);
-    for (int Try = 0; Try < Tries; ++Try) {
+    for (int Try = 0; Try < MaxAttempts; ++Try) {
       absl::StatusOr<store::RangeResult> Read =
           Store_.range(Key, Revision(0), Deadline);
       if (!Read.ok())
         return absl::UnavailableError(std::string(Read.status().message()));
-      absl::StatusOr<OpenShard> Open = openShard(Key, *Read);
+      absl::StatusOr<LoadedShard> Open = loadShard(Key, *Read);
       if (!Open.ok())
         return Open.status();
       std::optional<T> Object = readFrom<T>(*Open, Name);
@@ -125,20 +125,20 @@
       if (absl::Status Edited = Edit(Object); !Edited.ok())
         return Edited;
       if (stored(Object) == Before)
-        return Written<T>{Object.value_or(T()), Open->Before_.ModRevision_,
-                          false};
+        return WriteResult<T>{Object.value_or(T()), Open->Stored_.ModRevision_,
+                              false};
       if (Object)
-        Object->Metadata_.ResourceVersion_ = Open->Stamp_;
+        Object->Metadata_.ResourceVersion_ = Open->NextResourceVersion_;
       if (DryRun)
-        return Written<T>{Object ? *Object : *Last, Open->Before_.ModRevision_,
-                          true};
+        return WriteResult<T>{Object ? *Object : *Last,
+                              Open->Stored_.ModRevision_, true};
       writeInto(*Open, Name, Object);
       absl::StatusOr<std::optional<Revision>> Done =
           commit(Key, *Open, Deadline, Guards);
       if (!Done.ok())
         return Done.status();
       if (*Done)
-        return Written<T>{Object ? *Object : *Last, **Done, true};
+        return WriteResult<T>{Object ? *Object : *Last, **Done, true};
     }
     return absl::UnavailableError("not written: too many racing writers");
   }
@@ -160,7 +160,7 @@
   }
 
   template <typename T>
-  static std::optional<T> readFrom(const OpenShard &Open,
+  static std::optional<T> readFrom(const LoadedShard &Open,
                                    const std::string &Name) {
     const boost::json::value *Item = Open.Items_.if_contains(Name);
     if (!Item)
@@ -177,7 +177,7 @@
   }
 
   template <typename T>
-  static void writeInto(OpenShard &Open, const std::string &Name,
+  static void writeInto(LoadedShard &Open, const std::string &Name,
                         const std::optional<T> &Object) {
     if (Object)
       Open.Items_[Name] = fleet::toStored(*Object);
@@ -187,13 +187,13 @@
 
   /// The revision of the write; an empty optional if another writer was first.
   absl::StatusOr<std::optional<Revision>>
-  commit(const std::string &Key, const OpenShard &Open,
+  commit(const std::string &Key, const LoadedShard &Open,
          framework::clock::TimePoint Deadline,
          const std::vector<store::Compare> &Guards) {
-    const std::string Text = shardText(Open);
+    const std::string Text = serializeShard(Open);
     store::Transaction Txn;
     Txn.Compares_ = Guards;
-    Txn.Compares_.push_back({Key, Open.Before_.ModRevision_});
+    Txn.Compares_.push_back({Key, Open.Stored_.ModRevision_});
     Txn.Puts_.push_back({Key, Text});
     absl::StatusOr<store::TransactionResult> Result =
         Store_.commit(Txn, Deadline);
@@ -207,12 +207,12 @@
   absl::StatusOr<std::optional<Revision>>
   readBack(const std::string &Key, const std::string &Text,
            framework::clock::TimePoint Deadline, const absl::Status &Why) {
-    for (int Try = 0; Try < Tries; ++Try) {
+    for (int Try = 0; Try < MaxAttempts; ++Try) {
       absl::StatusOr<store::RangeResult> Read =
           Store_.range(Key, Revision(0), Deadline);
       if (!Read.ok())
         continue;
-      if (holdsWrite(*Read, Key, Text))
+      if (containsWrite(*Read, Key, Text))
         return std::optional<Revision>(Read->StoreRevision_);
       // Not there: either it never arrived, or another writer came after it.
       // Trying again is right in both cases, since the edit starts from what
--- a/src/config/shards.h
+++ b/src/config/shards.h
@@ -22,7 +22,7 @@
 std::string configPrefix(std::string_view Prefix);
 
 /// The kind that a key holds, if it is a configuration key.
-std::optional<fleet::Kind> kindOfShard(std::string_view Prefix,
-                                       std::string_view Key);
+std::optional<fleet::Kind> kindOfShardKey(std::string_view Prefix,
+                                          std::string_view Key);
 
 } // namespace laburnumspread::config
--- a/src/config/tests/configtabletest.cpp
+++ b/src/config/tests/configtabletest.cpp
@@ -69,9 +69,9 @@
   put("orders", 1);
   put("orders", 2);
   take(readAll());
-  BOOST_TEST(!Table_.storeWentBack(Revision(2)));
-  BOOST_TEST(Table_.storeWentBack(Revision(1)));
-  BOOST_TEST(Table_.storeWentBack(Revision(9)));
+  BOOST_TEST(!Table_.detectStoreRollback(Revision(2)));
+  BOOST_TEST(Table_.detectStoreRollback(Revision(1)));
+  BOOST_TEST(Table_.detectStoreRollback(Revision(9)));
 }
 
 BOOST_FIXTURE_TEST_CASE(UnreadableValueLeavesTheFormerInForce, Fixture) {
@@ -82,7 +82,7 @@
   Read.Items_[0].ModRevision_ = Revision(9);
   BOOST_TEST(take(Read).empty());
   BOOST_TEST(limitInForce("orders") == 7u);
-  BOOST_TEST(Table_.unreadable() == 1u);
+  BOOST_TEST(Table_.unreadableValues() == 1u);
 }
 
 BOOST_FIXTURE_TEST_CASE(LaggingPeerGetsWhatItLacks, Fixture) {
--- a/src/ctl/internal/commands.cpp
+++ b/src/ctl/internal/commands.cpp
@@ -65,7 +65,7 @@
 
 /// Checks an object as far as that goes without a server.
 std::string faultsOf(const json::value &Object) {
-  const auto Kind = fleet::kindNamed(textAt(Object, "kind"));
+  const auto Kind = fleet::parseKind(textAt(Object, "kind"));
   if (!Kind)
     return "kind: must be one of pools vms teams keys waves";
   framework::settings::FieldErrors Errors;
--- a/src/entry/configservice.h
+++ b/src/entry/configservice.h
@@ -29,10 +29,11 @@
   bool poll();
 
   /// Takes values from any source.
-  void take(const std::vector<store::KeyValue> &Items, fleet::Revision Through);
+  void applyItems(const std::vector<store::KeyValue> &Items,
+                  fleet::Revision Through);
 
   /// A peer knows a later revision: asks it for the difference.
-  void peerKnows(const MemberId &Peer, const peers::Heartbeat &Beat);
+  void requestNewerConfig(const MemberId &Peer, const peers::Heartbeat &Beat);
   void handle(const peers::Sender &From, const peers::SnapshotRequest &Asked);
   void handle(const peers::Sender &From, const peers::Snapshot &Part);
 
@@ -42,15 +43,15 @@
 private:
   void pollLoop();
   void watchLoop();
-  void takeView(const store::KeyValue &Item);
-  bool refuses(fleet::Revision StoreRevision);
+  void applyView(const store::KeyValue &Item);
+  bool rejectsStoreRevision(fleet::Revision StoreRevision);
 
   EntryState &State_;
   store::EtcdStore &Store_;
   OnChanges OnChanges_;
   OnView OnView_;
   store::KeyValue ViewItem_;
-  TimePoint AskedPeerAt_{};
+  TimePoint SnapshotRequestedAt_{};
 };
 
 } // namespace laburnumspread::entry
--- a/src/entry/decisionlog.h
+++ b/src/entry/decisionlog.h
@@ -43,15 +43,15 @@
 /// The last decisions of this entry, oldest first. Bounded.
 class DecisionLog {
 public:
-  static constexpr std::size_t Kept = 8192;
+  static constexpr std::size_t MaxDecisions = 8192;
 
   void add(DecisionKind Kind, std::string_view Subject, std::string_view Reason,
            std::string_view Detail);
 
   /// Decisions after a sequence number; those that are no longer kept are
-  /// missing, see firstKept().
+  /// missing, see oldestSequence().
   std::vector<Decision> since(std::uint64_t Sequence) const;
-  std::uint64_t firstKept() const;
+  std::uint64_t oldestSequence() const;
   std::uint64_t last() const { return Next_ - 1; }
 
   /// Called after each addition.
--- a/src/entry/entrystate.h
+++ b/src/entry/entrystate.h
@@ -22,7 +22,7 @@
 using membership::MemberId;
 
 /// What was last heard from a peer.
-struct PeerRow {
+struct PeerInfo {
   peers::Heartbeat Last_;
   std::string Address_;
   /// Sending time in the peer's clock; older heartbeats that come late are
@@ -56,11 +56,11 @@
   routing::EndpointTable Endpoints_;
   routing::Estimates Estimates_;
   sharing::FleetUsage Usage_;
-  std::unordered_map<MemberId, PeerRow> Peers_;
+  std::unordered_map<MemberId, PeerInfo> Peers_;
   DecisionLog Decisions_;
   framework::metrics::Registry Metrics_;
   /// Whether some entry holds the planner lease, as far as the watch tells.
-  bool PlannerSeen_ = false;
+  bool PlannerLeaseSeen_ = false;
   bool Started_ = false;
   bool Leaving_ = false;
 
@@ -69,7 +69,7 @@
   bool fenced() const { return Contact_.fenced(View_, Self_.Id_, now()); }
 
   /// Members of the view other than this entry.
-  std::vector<membership::Member> others() const;
+  std::vector<membership::Member> otherMembers() const;
 
   /// Sends a letter; set by the app when the mesh is up.
   std::function<void(const MemberId &, const peers::Message &)> Send_;
--- a/src/entry/forwarder.h
+++ b/src/entry/forwarder.h
@@ -10,7 +10,7 @@
 
 namespace laburnumspread::entry {
 
-enum class ForwardKind {
+enum class ForwardStatus {
   /// The head of an answer has been read.
   Answered,
   /// The endpoint refused before it started.
@@ -18,19 +18,19 @@
   /// No byte has left.
   NotSent,
   /// It may have run; no answer came.
-  Lost,
+  Unanswered,
   /// The caller's own body could not be read to its end.
   CallerFailed
 };
 
 struct ForwardResult {
-  ForwardKind Kind_ = ForwardKind::NotSent;
+  ForwardStatus Kind_ = ForwardStatus::NotSent;
   /// Head and the first part of the body.
   framework::http::Response Answer_;
-  /// Whether more of the body is to be read from Link_.
+  /// Whether more of the body is to be read from Connection_.
   bool More_ = false;
   std::string Reason_;
-  std::shared_ptr<framework::http::Connection> Link_;
+  std::shared_ptr<framework::http::Connection> Connection_;
 };
 
 /// A request's body: what has been read of it, and the rest.
@@ -43,7 +43,7 @@
 };
 
 /// Bytes of a body that are held in memory; what is longer streams through.
-constexpr std::size_t BufferedBytes = 64 * 1024;
+constexpr std::size_t MaxBufferedBodyBytes = 64 * 1024;
 
 /// Carries requests to endpoints over kept connections.
 class Forwarder {
@@ -56,26 +56,27 @@
                         RequestBody &Body, CancelToken &Cancel);
 
   /// Keeps the connection for later if it can be used again.
-  void done(const std::string &Address,
-            std::shared_ptr<framework::http::Connection> Link);
+  void releaseConnection(const std::string &Address,
+                         std::shared_ptr<framework::http::Connection> Conn);
 
   std::size_t idleConnections() const;
 
 private:
-  using LinkPtr = std::shared_ptr<framework::http::Connection>;
+  using ConnectionPtr = std::shared_ptr<framework::http::Connection>;
 
-  LinkPtr takeIdle(const std::string &Address, bool Repeatable);
-  absl::StatusOr<LinkPtr> connect(const std::string &Address,
-                                  TimePoint Deadline);
-  framework::http::Request head(const WorkRequest &Request,
-                                const RequestBody &Body) const;
-  absl::Status sendRest(framework::http::Connection &Link, RequestBody &Body,
-                        TimePoint Deadline, bool &CallerFailed);
+  ConnectionPtr takeIdleConnection(const std::string &Address, bool Repeatable);
+  absl::StatusOr<ConnectionPtr> connect(const std::string &Address,
+                                        TimePoint Deadline);
+  framework::http::Request buildRequest(const WorkRequest &Request,
+                                        const RequestBody &Body) const;
+  absl::Status sendRemainingBody(framework::http::Connection &Conn,
+                                 RequestBody &Body, TimePoint Deadline,
+                                 bool &CallerFailed);
   void readAnswer(ForwardResult &Result, TimePoint Deadline);
 
   boost::asio::io_context &Io_;
   EntryState &State_;
-  std::map<std::string, std::vector<LinkPtr>> Idle_;
+  std::map<std::string, std::vector<ConnectionPtr>> Idle_;
 };
 
 } // namespace laburnumspread::entry
--- a/src/entry/internal/configservice.cpp
+++ b/src/entry/internal/configservice.cpp
@@ -17,11 +17,11 @@
 
 /// One read a second bounds how long a watch that has gone silent can hide a
 /// withdrawn key.
-constexpr Duration PollEvery = 1s;
+constexpr Duration PollInterval = 1s;
 constexpr Duration PollTimeout = 900ms;
-constexpr Duration WatchPauseFirst = 100ms;
-constexpr Duration WatchPauseLongest = 5s;
-constexpr Duration AskPeerEvery = 200ms;
+constexpr Duration InitialWatchBackoff = 100ms;
+constexpr Duration MaxWatchBackoff = 5s;
+constexpr Duration SnapshotRequestInterval = 200ms;
 
 /// A random part of the pause, so that entries that lost the store together do
 /// not come back to it together.
@@ -45,9 +45,9 @@
   spawn([this] { watchLoop(); });
 }
 
-bool ConfigService::refuses(fleet::Revision StoreRevision) {
-  const bool Before = State_.Config_.refusesStore();
-  if (!State_.Config_.storeWentBack(StoreRevision))
+bool ConfigService::rejectsStoreRevision(fleet::Revision StoreRevision) {
+  const bool Before = State_.Config_.storeRolledBack();
+  if (!State_.Config_.detectStoreRollback(StoreRevision))
     return false;
   if (!Before) {
     framework::log::error("store.went_back")
@@ -69,35 +69,35 @@
   const fleet::Revision Since = Known.value() == 0 ? Known : Known.next();
   const absl::StatusOr<store::RangeResult> Read =
       Store_.range(State_.Settings_.StorePrefix_, Since, SentAt + PollTimeout);
-  if (!Read.ok() || refuses(Read->StoreRevision_))
+  if (!Read.ok() || rejectsStoreRevision(Read->StoreRevision_))
     return false;
   State_.Contact_.storeAnswered(SentAt);
-  take(Read->Items_, Read->StoreRevision_);
+  applyItems(Read->Items_, Read->StoreRevision_);
   return true;
 }
 
 void ConfigService::pollLoop() {
   while (true) {
     poll();
-    sleepFor(PollEvery);
+    sleepFor(PollInterval);
   }
 }
 
 void ConfigService::watchLoop() {
-  Duration Pause = WatchPauseFirst;
+  Duration Pause = InitialWatchBackoff;
   while (true) {
     const fleet::Revision From = State_.Config_.revision().next();
     bool Heard = false;
     const absl::Status Ended =
         Store_.watch(State_.Settings_.StorePrefix_, From,
                      [&](const store::WatchBatch &Batch) {
-                       if (refuses(Batch.StoreRevision_))
+                       if (rejectsStoreRevision(Batch.StoreRevision_))
                          return false;
                        Heard = true;
-                       take(Batch.Puts_, Batch.StoreRevision_);
+                       applyItems(Batch.Puts_, Batch.StoreRevision_);
                        for (const std::string &Key : Batch.Deletes_)
                          if (Key == plannerKey())
-                           State_.PlannerSeen_ = false;
+                           State_.PlannerLeaseSeen_ = false;
                        return true;
                      });
     State_.Metrics_.counter("store_watch_ended_total").add();
@@ -105,13 +105,13 @@
     // take, what the watch can no longer tell.
     framework::log::debug("store.watch_ended")
         .field("reason", std::string(Ended.message()));
-    Pause = Heard ? WatchPauseFirst : std::min(2 * Pause, WatchPauseLongest);
+    Pause = Heard ? InitialWatchBackoff : std::min(2 * Pause, MaxWatchBackoff);
     sleepFor(jittered(Pause));
   }
 }
 
-void ConfigService::take(const std::vector<store::KeyValue> &Items,
-                         fleet::Revision Through) {
+void ConfigService::applyItems(const std::vector<store::KeyValue> &Items,
+                               fleet::Revision Through) {
   const auto Changes = State_.Config_.apply(Items, Through);
   if (!Changes.empty() && OnChanges_)
     OnChanges_(Changes);
@@ -119,13 +119,13 @@
   const std::string Key = viewKey();
   for (const store::KeyValue &Item : Items) {
     if (Item.Key_ == Key)
-      takeView(Item);
+      applyView(Item);
     if (Item.Key_ == plannerKey())
-      State_.PlannerSeen_ = true;
+      State_.PlannerLeaseSeen_ = true;
   }
 }
 
-void ConfigService::takeView(const store::KeyValue &Item) {
+void ConfigService::applyView(const store::KeyValue &Item) {
   if (Item.ModRevision_ <= State_.ViewRevision_)
     return;
   const absl::StatusOr<membership::View> Read =
@@ -141,13 +141,13 @@
     OnView_(*Read);
 }
 
-void ConfigService::peerKnows(const MemberId &Peer,
-                              const peers::Heartbeat &Beat) {
+void ConfigService::requestNewerConfig(const MemberId &Peer,
+                                       const peers::Heartbeat &Beat) {
   const bool Later = Beat.ConfigRevision_ > State_.Config_.revision() ||
                      Beat.View_ > State_.View_.Number_;
-  if (!Later || State_.now() - AskedPeerAt_ < AskPeerEvery)
+  if (!Later || State_.now() - SnapshotRequestedAt_ < SnapshotRequestInterval)
     return;
-  AskedPeerAt_ = State_.now();
+  SnapshotRequestedAt_ = State_.now();
   State_.Send_(Peer, peers::SnapshotRequest{State_.Config_.revision()});
 }
 
@@ -162,7 +162,7 @@
 }
 
 void ConfigService::handle(const peers::Sender &, const peers::Snapshot &Part) {
-  take(Part.Items_, Part.Through_);
+  applyItems(Part.Items_, Part.Through_);
 }
 
 } // namespace laburnumspread::entry
--- a/src/entry/internal/decisionlog.cpp
+++ b/src/entry/internal/decisionlog.cpp
@@ -39,7 +39,7 @@
   Decisions_.push_back({Next_++, framework::clock::SystemClock().now(), Kind,
                         std::string(Subject), std::string(Reason),
                         std::string(Detail)});
-  if (Decisions_.size() > Kept)
+  if (Decisions_.size() > MaxDecisions)
     Decisions_.pop_front();
   // Refusals come by the thousand when a pool is full; the log of the process
   // must not become the bottleneck then.
@@ -63,7 +63,7 @@
   return Result;
 }
 
-std::uint64_t DecisionLog::firstKept() const {
+std::uint64_t DecisionLog::oldestSequence() const {
   return Decisions_.empty() ? Next_ : Decisions_.front().Sequence_;
 }
 
--- a/src/entry/internal/entrysettings.cpp
+++ b/src/entry/internal/entrysettings.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr std::size_t Sha256HexLength = 64;
-constexpr std::int64_t MostConnections = 100'000;
-constexpr std::int64_t LargestBody = 1LL << 32;
-constexpr std::int64_t MostMillis = 3'600'000;
-constexpr double LargestWeight = 1000;
+constexpr std::int64_t MaxConnections = 100'000;
+constexpr std::int64_t MaxBodyBytes = 1LL << 32;
+constexpr std::int64_t MaxMillis = 3'600'000;
+constexpr double MaxWeight = 1000;
 
 Address readAddress(JsonReader &Reader, std::string_view Field) {
   const std::string Text = Reader.requiredString(Field);
@@ -47,17 +47,17 @@
       {1024, 65536});
   Limits.BodyBytes_ = Reader.optionalInt(
       "bodyBytes", static_cast<std::int64_t>(Limits.BodyBytes_),
-      {1024, LargestBody});
+      {1024, MaxBodyBytes});
   Limits.Connections_ = Reader.optionalInt(
       "connections", static_cast<std::int64_t>(Limits.Connections_),
-      {1, MostConnections});
+      {1, MaxConnections});
   Limits.IoTimeout_ = std::chrono::milliseconds(
-      Reader.optionalInt("ioTimeoutMs", 10'000, {100, MostMillis}));
+      Reader.optionalInt("ioTimeoutMs", 10'000, {100, MaxMillis}));
   Limits.IdleTimeout_ = std::chrono::milliseconds(
-      Reader.optionalInt("idleTimeoutMs", 300'000, {100, MostMillis}));
+      Reader.optionalInt("idleTimeoutMs", 300'000, {100, MaxMillis}));
   Into.AnswerBytes_ = Reader.optionalInt(
       "answerBytes", static_cast<std::int64_t>(Into.AnswerBytes_),
-      {1024, LargestBody});
+      {1024, MaxBodyBytes});
   Reader.finish();
 }
 
@@ -114,15 +114,14 @@
   JsonReader Planner = Reader.child("planner", false);
   Result.Planner_ = Planner.optionalBool("enabled", true);
   Result.WeightCloseness_ =
-      Planner.optionalNumber("weightCloseness", 1, 0, LargestWeight);
-  Result.WeightMoves_ =
-      Planner.optionalNumber("weightMoves", 1, 0, LargestWeight);
+      Planner.optionalNumber("weightCloseness", 1, 0, MaxWeight);
+  Result.WeightMoves_ = Planner.optionalNumber("weightMoves", 1, 0, MaxWeight);
   Result.WeightBuffer_ =
-      Planner.optionalNumber("weightBuffer", 1, 0, LargestWeight);
+      Planner.optionalNumber("weightBuffer", 1, 0, MaxWeight);
   Planner.finish();
   JsonReader Test = Reader.child("test", false);
   Result.InjectedPeerDelayMs_ =
-      Test.optionalInt("peerDelayMs", 0, {0, MostMillis});
+      Test.optionalInt("peerDelayMs", 0, {0, MaxMillis});
   Test.finish();
   Reader.finish();
   return Result;
--- a/src/entry/internal/entrystate.cpp
+++ b/src/entry/internal/entrystate.cpp
@@ -10,7 +10,7 @@
   return limits::SubjectName("slots/" + std::string(Vm));
 }
 
-std::vector<membership::Member> EntryState::others() const {
+std::vector<membership::Member> EntryState::otherMembers() const {
   std::vector<membership::Member> Result;
   for (const membership::Member &Item : View_.Members_)
     if (Item.Id_ != Self_.Id_)
--- a/src/entry/internal/forwarder.cpp
+++ b/src/entry/internal/forwarder.cpp
@@ -10,45 +10,46 @@
 /// A request that may run only once goes out on a connection whose other end
 /// was heard within this time, or on a new one: a path that has silently
 /// forgotten the connection would take the request and leave its outcome open.
-constexpr Duration ProvenWithinOnce = 1s;
+constexpr Duration MaxIdleForNonRepeatable = 1s;
 /// Repeatable work can be sent again, so older proof will do.
-constexpr Duration ProvenWithin = 10s;
+constexpr Duration MaxIdleForRepeatable = 10s;
 constexpr Duration ConnectTimeout = 1s;
-constexpr std::size_t PartBytes = 16 * 1024;
+constexpr std::size_t ReadChunkBytes = 16 * 1024;
 /// Connections that an endpoint takes in all; the entries share them evenly.
 constexpr std::size_t ConnectionsPerEndpoint = 64;
 
 } // namespace
 
-Forwarder::LinkPtr Forwarder::takeIdle(const std::string &Address,
-                                       bool Repeatable) {
-  auto &Links = Idle_[Address];
+Forwarder::ConnectionPtr
+Forwarder::takeIdleConnection(const std::string &Address, bool Repeatable) {
+  auto &Conns = Idle_[Address];
   const TimePoint Oldest =
-      State_.now() - (Repeatable ? ProvenWithin : ProvenWithinOnce);
-  while (!Links.empty()) {
-    LinkPtr Link = std::move(Links.back());
-    Links.pop_back();
-    if (Link->provenAt() >= Oldest && !Link->stale())
-      return Link;
+      State_.now() -
+      (Repeatable ? MaxIdleForRepeatable : MaxIdleForNonRepeatable);
+  while (!Conns.empty()) {
+    ConnectionPtr Conn = std::move(Conns.back());
+    Conns.pop_back();
+    if (Conn->provenAt() >= Oldest && !Conn->stale())
+      return Conn;
   }
   return nullptr;
 }
 
-absl::StatusOr<Forwarder::LinkPtr>
+absl::StatusOr<Forwarder::ConnectionPtr>
 Forwarder::connect(const std::string &Address, TimePoint Deadline) {
   const auto To = http::parseAddress(Address);
   if (!To)
     return absl::InvalidArgumentError("bad address " + Address);
-  LinkPtr Link = http::Connection::make(Io_);
+  ConnectionPtr Conn = http::Connection::make(Io_);
   absl::Status Status =
-      Link->connect(*To, std::min(Deadline, State_.now() + ConnectTimeout));
+      Conn->connect(*To, std::min(Deadline, State_.now() + ConnectTimeout));
   if (!Status.ok())
     return Status;
-  return Link;
+  return Conn;
 }
 
-http::Request Forwarder::head(const WorkRequest &Request,
-                              const RequestBody &Body) const {
+http::Request Forwarder::buildRequest(const WorkRequest &Request,
+                                      const RequestBody &Body) const {
   http::Request Head;
   Head.Method_ = "POST";
   Head.Target_ = "/requests";
@@ -66,34 +67,36 @@
   return Head;
 }
 
-absl::Status Forwarder::sendRest(http::Connection &Link, RequestBody &Body,
-                                 TimePoint Deadline, bool &CallerFailed) {
+absl::Status Forwarder::sendRemainingBody(http::Connection &Conn,
+                                          RequestBody &Body, TimePoint Deadline,
+                                          bool &CallerFailed) {
   std::string Part;
   for (bool More = Body.Rest_ != nullptr; More;) {
     Part.clear();
-    const absl::StatusOr<bool> Next = Body.Rest_->readSome(Part, PartBytes);
+    const absl::StatusOr<bool> Next =
+        Body.Rest_->readSome(Part, ReadChunkBytes);
     if (!Next.ok()) {
       CallerFailed = true;
       return Next.status();
     }
     More = *Next;
-    if (absl::Status Sent = Link.write(Part, Deadline); !Sent.ok())
+    if (absl::Status Sent = Conn.write(Part, Deadline); !Sent.ok())
       return Sent;
   }
   return absl::OkStatus();
 }
 
 void Forwarder::readAnswer(ForwardResult &Result, TimePoint Deadline) {
-  auto Head = Result.Link_->readHead(Deadline);
+  auto Head = Result.Connection_->readHead(Deadline);
   if (!Head.ok()) {
     Result.Reason_ = std::string(Head.status().message());
     return;
   }
   Result.Answer_ = std::move(*Head);
   Result.More_ = true;
-  while (Result.More_ && Result.Answer_.Body_.size() < BufferedBytes) {
-    const auto Next =
-        Result.Link_->readSome(Result.Answer_.Body_, PartBytes, Deadline);
+  while (Result.More_ && Result.Answer_.Body_.size() < MaxBufferedBodyBytes) {
+    const auto Next = Result.Connection_->readSome(Result.Answer_.Body_,
+                                                   ReadChunkBytes, Deadline);
     if (!Next.ok()) {
       Result.Reason_ = std::string(Next.status().message());
       return;
@@ -102,7 +105,7 @@
   }
   const bool Refusal = Result.Answer_.Status_ == 503 &&
                        Result.Answer_.Headers_.find("Endpoint-Refusal");
-  Result.Kind_ = Refusal ? ForwardKind::Refused : ForwardKind::Answered;
+  Result.Kind_ = Refusal ? ForwardStatus::Refused : ForwardStatus::Answered;
   if (Refusal)
     Result.Reason_ =
         std::string(*Result.Answer_.Headers_.find("Endpoint-Refusal"));
@@ -113,14 +116,14 @@
                                  CancelToken &Cancel) {
   ForwardResult Result;
   const std::string Address = State_.Endpoints_.at(At.Endpoint_).Address_;
-  Result.Link_ = takeIdle(Address, Request.Repeatable_);
-  if (!Result.Link_) {
+  Result.Connection_ = takeIdleConnection(Address, Request.Repeatable_);
+  if (!Result.Connection_) {
     auto Fresh = connect(Address, Request.Deadline_);
     if (!Fresh.ok()) {
       Result.Reason_ = std::string(Fresh.status().message());
       return Result;
     }
-    Result.Link_ = std::move(*Fresh);
+    Result.Connection_ = std::move(*Fresh);
   }
   // A process that was paused between the permit and here finds the deadline
   // over; its permits may be others' by now.
@@ -130,44 +133,45 @@
     return Result;
   }
   if (Request.Repeatable_)
-    Cancel.onFire([Link = Result.Link_] { Link->close(); });
-  const absl::Status Sent =
-      Result.Link_->send(head(Request, Body), Body.Length_, Request.Deadline_);
+    Cancel.setListener([Conn = Result.Connection_] { Conn->close(); });
+  const absl::Status Sent = Result.Connection_->send(
+      buildRequest(Request, Body), Body.Length_, Request.Deadline_);
   if (!Sent.ok()) {
-    Cancel.onFire(nullptr);
-    Result.Kind_ =
-        Result.Link_->bytesSent() ? ForwardKind::Lost : ForwardKind::NotSent;
+    Cancel.setListener(nullptr);
+    Result.Kind_ = Result.Connection_->bytesSent() ? ForwardStatus::Unanswered
+                                                   : ForwardStatus::NotSent;
     Result.Reason_ = std::string(Sent.message());
     return Result;
   }
-  Result.Kind_ = ForwardKind::Lost;
+  Result.Kind_ = ForwardStatus::Unanswered;
   bool CallerFailed = false;
-  const absl::Status Rest =
-      sendRest(*Result.Link_, Body, Request.Deadline_, CallerFailed);
+  const absl::Status Rest = sendRemainingBody(*Result.Connection_, Body,
+                                              Request.Deadline_, CallerFailed);
   if (Rest.ok())
     readAnswer(Result, Request.Deadline_);
   else
     Result.Reason_ = std::string(Rest.message());
   if (CallerFailed)
-    Result.Kind_ = ForwardKind::CallerFailed;
-  Cancel.onFire(nullptr);
+    Result.Kind_ = ForwardStatus::CallerFailed;
+  Cancel.setListener(nullptr);
   return Result;
 }
 
-void Forwarder::done(const std::string &Address, LinkPtr Link) {
-  if (!Link || !Link->reusable())
+void Forwarder::releaseConnection(const std::string &Address,
+                                  ConnectionPtr Conn) {
+  if (!Conn || !Conn->reusable())
     return;
-  auto &Links = Idle_[Address];
+  auto &Conns = Idle_[Address];
   const std::size_t Entries =
       std::max<std::size_t>(1, State_.View_.Members_.size());
-  if (Links.size() < std::max<std::size_t>(1, ConnectionsPerEndpoint / Entries))
-    Links.push_back(std::move(Link));
+  if (Conns.size() < std::max<std::size_t>(1, ConnectionsPerEndpoint / Entries))
+    Conns.push_back(std::move(Conn));
 }
 
 std::size_t Forwarder::idleConnections() const {
   std::size_t Count = 0;
-  for (const auto &[Address, Links] : Idle_)
-    Count += Links.size();
+  for (const auto &[Address, Conns] : Idle_)
+    Count += Conns.size();
   return Count;
 }
 
--- a/src/entry/internal/membershipservice.cpp
+++ b/src/entry/internal/membershipservice.cpp
@@ -17,21 +17,21 @@
 
 namespace {
 
-constexpr Duration ViewCheckEvery = 250ms;
+constexpr Duration ViewCheckInterval = 250ms;
 constexpr Duration WriteTimeout = 2s;
 /// Heartbeats after which all rows of use are sent anew.
-constexpr std::uint64_t MarkAllEvery = 20;
+constexpr std::uint64_t FullUsageInterval = 20;
 /// Rows of use may take this much of the 18 KB/s that control may cost, both
 /// ways counted.
-constexpr std::size_t UseBytesPerSecond = 5000;
-constexpr std::size_t BeatsPerSecond = 2;
+constexpr std::size_t UsageBytesPerSecond = 5000;
+constexpr std::size_t HeartbeatsPerSecond = 2;
 /// Measured: a row of names as long as the examples'.
 constexpr std::size_t BytesPerRow = 25;
-constexpr std::size_t FewestRows = 4;
-constexpr Duration LeaveCheckEvery = 50ms;
-constexpr Duration StorePatience = 4s;
+constexpr std::size_t MinUsageRows = 4;
+constexpr Duration LeaveCheckInterval = 50ms;
+constexpr Duration StoreOutageTolerance = 4s;
 /// Rows about peers that are in no view are dropped after this silence.
-constexpr Duration ForgetPeerAfter = 60s;
+constexpr Duration PeerExpiry = 60s;
 
 std::string textOf(const MemberId &Id) {
   return Id.Name_.str() + "#" + std::to_string(Id.Incarnation_.value());
@@ -58,7 +58,7 @@
 
 // Heartbeats
 
-peers::Heartbeat MembershipService::commonBeat() const {
+peers::Heartbeat MembershipService::makeHeartbeat() const {
   peers::Heartbeat Beat;
   Beat.View_ = State_.View_.Number_;
   Beat.SettledThrough_ = State_.View_.SettledThrough_;
@@ -73,7 +73,7 @@
     const auto Subject = State_.Ledger_.find(slotsSubject(Name));
     const std::uint32_t Busy = Subject ? State_.Ledger_.busy(*Subject) : 0;
     if (Busy > 0)
-      Beat.Leaving_.push_back({fleet::VmName(Name), Busy});
+      Beat.LeavingVms_.push_back({fleet::VmName(Name), Busy});
   }
   Beat.StoreInTouch_ = State_.Contact_.storeInTouch(State_.now());
   Beat.Ready_ = State_.Started_ && !State_.Leaving_;
@@ -83,60 +83,62 @@
 /// A row for every team in every heartbeat would be 10 KB at the design size.
 /// The rows share what the bound on control traffic leaves; a heartbeat that is
 /// lost leaves rows stale until all are marked again.
-void MembershipService::addUse(peers::Heartbeat &Into) {
-  if (Beats_++ % MarkAllEvery == 0)
+void MembershipService::addPoolUsage(peers::Heartbeat &Into) {
+  if (HeartbeatsSent_++ % FullUsageInterval == 0)
     State_.Usage_.markAllChanged();
-  const std::size_t Peers = std::max<std::size_t>(1, State_.others().size());
-  const std::size_t Most = std::max(
-      FewestRows, UseBytesPerSecond / (BeatsPerSecond * Peers * BytesPerRow));
+  const std::size_t Peers =
+      std::max<std::size_t>(1, State_.otherMembers().size());
+  const std::size_t Most =
+      std::max(MinUsageRows, UsageBytesPerSecond /
+                                 (HeartbeatsPerSecond * Peers * BytesPerRow));
   for (const auto &Row : State_.Usage_.takeChanged(Most))
-    Into.Use_.push_back(
+    Into.PoolUsage_.push_back(
         {Row.Pool_, Row.Team_, Row.Use_.Running_, Row.Use_.Waiting_});
 }
 
-void MembershipService::sendBeat(const MemberId &To,
-                                 peers::Heartbeat Beat) const {
+void MembershipService::sendHeartbeat(const MemberId &To,
+                                      peers::Heartbeat Beat) const {
   if (const auto Row = State_.Peers_.find(To); Row != State_.Peers_.end())
-    Beat.Echo_ = Row->second.SentAt_;
+    Beat.EchoedSentAt_ = Row->second.SentAt_;
   State_.Send_(To, Beat);
 }
 
 void MembershipService::heartbeatLoop() {
-  while (!Left_) {
-    peers::Heartbeat Beat = commonBeat();
-    addUse(Beat);
-    for (const Member &Peer : State_.others())
-      sendBeat(Peer.Id_, Beat);
+  while (!HasLeft_) {
+    peers::Heartbeat Beat = makeHeartbeat();
+    addPoolUsage(Beat);
+    for (const Member &Peer : State_.otherMembers())
+      sendHeartbeat(Peer.Id_, Beat);
     if (!State_.isMember()) {
       // Not in the view, or none known yet: ask whoever may be there.
       for (const std::string &Seed : State_.Settings_.Seeds_)
-        sendBeat({fleet::EntryName("@" + Seed), {}}, Beat);
+        sendHeartbeat({fleet::EntryName("@" + Seed), {}}, Beat);
     }
     forgetSilentPeers();
-    sleepFor(HeartbeatEvery);
+    sleepFor(HeartbeatInterval);
   }
 }
 
 void MembershipService::handle(const peers::Sender &From,
                                const peers::Heartbeat &Beat) {
-  PeerRow &Row = State_.Peers_[From.Id_];
+  PeerInfo &Row = State_.Peers_[From.Id_];
   if (From.SentAt_ < Row.SentAt_)
     return;
   Row.Last_ = Beat;
   Row.Address_ = From.Address_;
   Row.SentAt_ = From.SentAt_;
   Row.HeardAt_ = State_.now();
-  if (framework::clock::toMicros(Beat.Echo_) != 0)
-    State_.Contact_.peerAnswered(From.Id_, Beat.Echo_);
+  if (framework::clock::toMicros(Beat.EchoedSentAt_) != 0)
+    State_.Contact_.peerAnswered(From.Id_, Beat.EchoedSentAt_);
   State_.Ledger_.hear({From.Id_, Beat.View_, Beat.StillHeld_});
   std::vector<sharing::FleetUsage::Row> Use;
-  for (const peers::PoolUse &Item : Beat.Use_)
+  for (const peers::PoolUsage &Item : Beat.PoolUsage_)
     Use.push_back({Item.Pool_, Item.Team_, {Item.Running_, Item.Waiting_}});
   State_.Usage_.update(From.Id_, Use);
-  Config_.peerKnows(From.Id_, Beat);
+  Config_.requestNewerConfig(From.Id_, Beat);
   // A newcomer that is in no view hears from nobody unless it is answered.
   if (!State_.View_.find(From.Id_))
-    sendBeat(From.Id_, commonBeat());
+    sendHeartbeat(From.Id_, makeHeartbeat());
 }
 
 /// A peer that is in no view and says nothing any more is dropped, and what it
@@ -144,7 +146,7 @@
 void MembershipService::forgetSilentPeers() {
   std::erase_if(State_.Peers_, [&](const auto &Row) {
     if (State_.View_.find(Row.first) ||
-        State_.now() - Row.second.HeardAt_ <= ForgetPeerAfter)
+        State_.now() - Row.second.HeardAt_ <= PeerExpiry)
       return false;
     State_.Usage_.forget(Row.first);
     return true;
@@ -172,7 +174,7 @@
                             : absl::AbortedError("another change was first");
 }
 
-absl::Status MembershipService::makeFirstView() {
+absl::Status MembershipService::createInitialView() {
   View First;
   First.Number_ = First.SettledThrough_ = First.LastJoin_ =
       membership::ViewNumber(1);
@@ -252,11 +254,11 @@
   }).IgnoreError();
 }
 
-void MembershipService::advance() {
+void MembershipService::reconcileMembership() {
   if (!State_.Contact_.storeInTouch(State_.now()))
     return;
   if (State_.ViewRevision_.value() == 0)
-    makeFirstView().IgnoreError();
+    createInitialView().IgnoreError();
   else if (!State_.isMember() && !State_.Leaving_)
     joinOrReplace();
   else
@@ -264,9 +266,9 @@
 }
 
 void MembershipService::viewLoop() {
-  while (!Left_) {
-    advance();
-    sleepFor(ViewCheckEvery);
+  while (!HasLeft_) {
+    reconcileMembership();
+    sleepFor(ViewCheckInterval);
   }
 }
 
@@ -274,7 +276,7 @@
   State_.Leaving_ = true;
   // Without the store nothing can be handed over; the next run on this VM
   // removes this one. A store that is slow for a moment is waited for.
-  const TimePoint Patience = State_.now() + StorePatience;
+  const TimePoint Patience = State_.now() + StoreOutageTolerance;
   while (
       State_.isMember() && State_.now() < Deadline &&
       (State_.Contact_.storeInTouch(State_.now()) || State_.now() < Patience)) {
@@ -288,16 +290,16 @@
       changeView([this](const View &Now) {
         return membership::withRemoved(Now, State_.Self_.Id_, State_.now());
       }).IgnoreError();
-    sleepFor(LeaveCheckEvery);
+    sleepFor(LeaveCheckInterval);
   }
-  Left_ = true;
+  HasLeft_ = true;
 }
 
 // What the fleet has in force
 
-MembershipService::InForce
-MembershipService::inForce(fleet::Revision Wanted) const {
-  InForce Result;
+MembershipService::ConfigRollout
+MembershipService::configRollout(fleet::Revision Wanted) const {
+  ConfigRollout Result;
   for (const Member &Item : State_.View_.Members_) {
     fleet::Revision Has;
     if (Item.Id_ == State_.Self_.Id_)
@@ -305,7 +307,7 @@
     else if (const auto Row = State_.Peers_.find(Item.Id_);
              Row != State_.Peers_.end())
       Has = Row->second.Last_.ConfigRevision_;
-    (Has >= Wanted ? Result.Have_ : Result.Awaited_)
+    (Has >= Wanted ? Result.Applied_ : Result.Awaited_)
         .push_back(Item.Id_.Name_.str());
   }
   return Result;
@@ -315,11 +317,11 @@
 MembershipService::drainState(const fleet::VmName &Vm,
                               fleet::Revision LeavingSince) const {
   DrainState Result;
-  Result.Awaited_ = inForce(LeavingSince).Awaited_;
+  Result.Awaited_ = configRollout(LeavingSince).Awaited_;
   if (const auto Subject = State_.Ledger_.find(slotsSubject(Vm.str())))
     Result.Busy_ += State_.Ledger_.busy(*Subject);
   for (const auto &[Id, Row] : State_.Peers_)
-    for (const peers::VmUse &Item : Row.Last_.Leaving_)
+    for (const peers::VmUsage &Item : Row.Last_.LeavingVms_)
       if (Item.Vm_ == Vm)
         Result.Busy_ += Item.Busy_;
   return Result;
--- a/src/entry/internal/placementloans.cpp
+++ b/src/entry/internal/placementloans.cpp
@@ -17,36 +17,37 @@
 
 /// A wish is repeated this often and lapses at the owner a little later, so
 /// that a lost one costs one repetition and a stale one gets nothing.
-constexpr Duration WishEvery = 100ms;
-constexpr Duration WishLasts = 300ms;
+constexpr Duration BorrowRequestInterval = 100ms;
+constexpr Duration BorrowRequestTtl = 300ms;
 /// A loan that nobody has used for this long goes home. Longer than the pause
 /// between two requests of a steady caller, so that skewed load does not
 /// borrow anew for each request.
-constexpr Duration LoanIdleTime = 100ms;
+constexpr Duration MaxLoanIdleTime = 100ms;
 /// A request needs a permit and a slot. Of either kind an entry asks for no
 /// more than it has of the other, and this many beyond so that it can start
 /// from nothing. Asking for all it could use of both let permits lie idle
 /// where slots were wanting, and the other way round.
-constexpr std::uint32_t AskAhead = 2;
+constexpr std::uint32_t BorrowHeadroom = 2;
 /// A loan is asked for beyond the deadline of the request that needs it, so
 /// that later requests, with later deadlines, can use it too. Without this
 /// each loan served one round of requests and then lay idle until it went
 /// home (docs/design/limits.md has the figures).
-constexpr Duration LoanReuseTime = 10s;
-constexpr std::uint32_t LoansPerWish = 64;
+constexpr Duration LoanReuseMargin = 10s;
+constexpr std::uint32_t MaxLoansPerRequest = 64;
 
 } // namespace
 
 // Lending
 
-bool PlacementService::grantWish(const PoolName &Pool, const PeerWish &Wish) {
+bool PlacementService::grantSlotLoan(const PoolName &Pool,
+                                     const PeerWish &Wish) {
   for (EndpointIndex Index : State_.Endpoints_.inPool(Pool)) {
     const auto &Row = State_.Endpoints_.at(Index);
     if (!Row.Open_ || State_.Ledger_.freeOwned(Row.Subject_) == 0)
       continue;
     const auto Loans =
         State_.Ledger_.lend(Row.Subject_, Wish.From_, 1, Wish.Until_);
-    State_.Send_(Wish.From_, peers::Grant{Loans, Pool, Wish.Team_});
+    State_.Send_(Wish.From_, peers::LoanGrant{Loans, Pool, Wish.Team_});
     State_.Metrics_.counter("loans_granted_total{kind=\"slot\"}").add();
     poolState(Pool).Queue_.granted(Wish);
     return true;
@@ -54,10 +55,10 @@
   return false;
 }
 
-void PlacementService::serveTeamWishes(const TeamName &Team) {
-  const auto Wishes = TeamWishes_.find(Team);
+void PlacementService::serveTeamBorrowRequests(const TeamName &Team) {
+  const auto Wishes = TeamBorrowRequests_.find(Team);
   const auto Subject = State_.Ledger_.find(teamSubject(Team.str()));
-  if (Wishes == TeamWishes_.end() || !Subject)
+  if (Wishes == TeamBorrowRequests_.end() || !Subject)
     return;
   for (PeerWish &Wish : Wishes->second) {
     if (Wish.LapsesAt_ <= State_.now() || Wish.Count_ == 0)
@@ -69,70 +70,72 @@
     Wish.Count_ -= Loans.size();
     State_.Metrics_.counter("loans_granted_total{kind=\"team\"}")
         .add(Loans.size());
-    State_.Send_(Wish.From_, peers::Grant{Loans, PoolName(), Team});
+    State_.Send_(Wish.From_, peers::LoanGrant{Loans, PoolName(), Team});
   }
   std::erase_if(Wishes->second, [&](const PeerWish &Wish) {
     return Wish.Count_ == 0 || Wish.LapsesAt_ <= State_.now();
   });
   if (Wishes->second.empty())
-    TeamWishes_.erase(Wishes);
+    TeamBorrowRequests_.erase(Wishes);
 }
 
 void PlacementService::handle(const peers::Sender &From,
-                              const peers::Borrow &Asked) {
+                              const peers::BorrowRequest &Asked) {
   if (State_.fenced())
     return;
   const TimePoint Now = State_.now();
   PeerWish Wish{From.Id_,
                 Asked.Team_,
                 Asked.Class_,
-                std::min(Asked.Count_, LoansPerWish),
+                std::min(Asked.Count_, MaxLoansPerRequest),
                 std::min(Asked.Until_, Now + membership::LongestTaskLease),
-                Now + WishLasts};
+                Now + BorrowRequestTtl};
   if (!Asked.Pool_.empty()) {
-    if (!declared(Asked.Pool_))
+    if (!findPool(Asked.Pool_))
       return;
     poolState(Asked.Pool_).Queue_.wish(Wish);
-    return pump(Asked.Pool_);
+    return dispatchWaiting(Asked.Pool_);
   }
-  auto &Wishes = TeamWishes_[Asked.Team_];
+  auto &Wishes = TeamBorrowRequests_[Asked.Team_];
   std::erase_if(Wishes,
                 [&](const PeerWish &Old) { return Old.From_ == From.Id_; });
   Wishes.push_back(Wish);
-  serveTeamWishes(Asked.Team_);
+  serveTeamBorrowRequests(Asked.Team_);
 }
 
 void PlacementService::handle(const peers::Sender &,
-                              const peers::Grant &Granted) {
+                              const peers::LoanGrant &Granted) {
   for (const limits::Loan &Item : Granted.Loans_)
     State_.Ledger_.receive(Item, State_.now());
   if (!Granted.Pool_.empty())
-    return pump(Granted.Pool_);
-  pumpAll();
+    return dispatchWaiting(Granted.Pool_);
+  dispatchAllPools();
 }
 
 void PlacementService::handle(const peers::Sender &,
-                              const peers::Return &Returned) {
+                              const peers::LoanReturn &Returned) {
   for (const limits::LoanId &Id : Returned.Loans_)
     State_.Ledger_.returned(Id);
   std::vector<TeamName> Wishing;
-  for (const auto &[Team, Wishes] : TeamWishes_)
+  for (const auto &[Team, Wishes] : TeamBorrowRequests_)
     Wishing.push_back(Team);
   for (const TeamName &Team : Wishing)
-    serveTeamWishes(Team);
-  pumpAll();
+    serveTeamBorrowRequests(Team);
+  dispatchAllPools();
 }
 
 // Borrowing
 
-void PlacementService::wishForSlots(const PoolName &Pool, PoolState &Row) {
-  if (!Row.Starved_ || State_.now() - Row.WishedAt_ < WishEvery)
+void PlacementService::requestSlotLoans(const PoolName &Pool, PoolState &Row) {
+  if (!Row.WaitingForSlot_ ||
+      State_.now() - Row.BorrowRequestedAt_ < BorrowRequestInterval)
     return;
-  const auto Peers = State_.others();
+  const auto Peers = State_.otherMembers();
   if (Peers.empty())
     return;
-  Row.WishedAt_ = State_.now();
-  std::map<std::pair<TeamName, fleet::RequestClass>, peers::Borrow> Wishes;
+  Row.BorrowRequestedAt_ = State_.now();
+  std::map<std::pair<TeamName, fleet::RequestClass>, peers::BorrowRequest>
+      Wishes;
   for (const auto &[Id, Item] : Tickets_) {
     if (Item->Request_->Pool_ != Pool)
       continue;
@@ -141,13 +144,14 @@
     Wish.Team_ = Item->Ticket_.Team_;
     Wish.Class_ = Item->Ticket_.Class_;
     Wish.Until_ =
-        std::max(Wish.Until_, Item->Ticket_.Deadline_ + LoanReuseTime);
+        std::max(Wish.Until_, Item->Ticket_.Deadline_ + LoanReuseMargin);
     ++Wish.Count_;
   }
   for (auto &[Key, Wish] : Wishes) {
     // Shared out over the peers: asking each for all would take in many times
     // what is needed and keep it from others.
-    Wish.Count_ = std::min(Wish.Count_, freePermits(Wish.Team_) + AskAhead);
+    Wish.Count_ =
+        std::min(Wish.Count_, freePermits(Wish.Team_) + BorrowHeadroom);
     Wish.Count_ = (Wish.Count_ + Peers.size() - 1) / Peers.size();
     for (const membership::Member &Peer : Peers)
       State_.Send_(Peer.Id_, Wish);
@@ -169,8 +173,8 @@
   return Sum;
 }
 
-void PlacementService::wishForTeam(const TeamName &Team, std::uint32_t Count,
-                                   TimePoint Until) {
+void PlacementService::requestTeamLoans(const TeamName &Team,
+                                        std::uint32_t Count, TimePoint Until) {
   const auto Subject = State_.Ledger_.find(teamSubject(Team.str()));
   if (!Subject)
     return;
@@ -181,7 +185,7 @@
   for (const auto &Item : Owners) {
     if (Item.Owner_ == State_.Self_.Id_ || Total == 0)
       continue;
-    peers::Borrow Wish;
+    peers::BorrowRequest Wish;
     Wish.Team_ = Team;
     Wish.Until_ = Until;
     Wish.Count_ = std::max(1U, (Count * Item.Units_ + Total - 1) / Total);
@@ -190,7 +194,7 @@
   }
 }
 
-void PlacementService::wishForPermits() {
+void PlacementService::requestPermitLoans() {
   struct Need {
     std::uint32_t Count_ = 0;
     TimePoint Until_{};
@@ -198,29 +202,31 @@
   };
   std::map<TeamName, Need> Needs;
   for (const auto &[Id, Item] : Tickets_) {
-    if (!TeamWishedAt_.contains(Item->Ticket_.Team_))
+    if (!TeamBorrowRequestedAt_.contains(Item->Ticket_.Team_))
       continue;
     Need &Row = Needs[Item->Ticket_.Team_];
     Row.Pools_.insert(Item->Request_->Pool_);
     ++Row.Count_;
-    Row.Until_ = std::max(Row.Until_, Item->Ticket_.Deadline_ + LoanReuseTime);
+    Row.Until_ =
+        std::max(Row.Until_, Item->Ticket_.Deadline_ + LoanReuseMargin);
   }
-  std::erase_if(TeamWishedAt_,
+  std::erase_if(TeamBorrowRequestedAt_,
                 [&](const auto &Row) { return !Needs.contains(Row.first); });
-  for (auto &[Team, At] : TeamWishedAt_) {
-    if (State_.now() - At < WishEvery)
+  for (auto &[Team, At] : TeamBorrowRequestedAt_) {
+    if (State_.now() - At < BorrowRequestInterval)
       continue;
     At = State_.now();
-    std::uint32_t Slots = AskAhead;
+    std::uint32_t Slots = BorrowHeadroom;
     for (const PoolName &Pool : Needs[Team].Pools_)
       Slots += freeSlots(Pool);
-    wishForTeam(Team, std::min({Needs[Team].Count_, Slots, LoansPerWish}),
-                Needs[Team].Until_);
+    requestTeamLoans(Team,
+                     std::min({Needs[Team].Count_, Slots, MaxLoansPerRequest}),
+                     Needs[Team].Until_);
   }
 }
 
 void PlacementService::sendReturns(const std::vector<limits::LoanId> &Loans) {
-  std::map<MemberId, peers::Return> ByLender;
+  std::map<MemberId, peers::LoanReturn> ByLender;
   for (const limits::LoanId &Id : Loans)
     ByLender[Id.Lender_].Loans_.push_back(Id);
   for (const auto &[Lender, Message] : ByLender)
@@ -228,7 +234,7 @@
 }
 
 void PlacementService::returnIdleLoans() {
-  sendReturns(State_.Ledger_.takeIdleLoans(State_.now() - LoanIdleTime));
+  sendReturns(State_.Ledger_.takeIdleLoans(State_.now() - MaxLoanIdleTime));
 }
 
 } // namespace laburnumspread::entry
--- a/src/entry/internal/placementservice.cpp
+++ b/src/entry/internal/placementservice.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-constexpr Duration TickEvery = 50ms;
+constexpr Duration TickInterval = 50ms;
 /// An urgent request that has waited this long may stop batch work. Leaves
 /// most of the 2.7 s within which urgent work has to start.
-constexpr Duration UrgentPatience = 500ms;
-constexpr Duration ShortestRetryAfter = 1s;
+constexpr Duration UrgentWaitBeforePreemption = 500ms;
+constexpr Duration MinRetryAfter = 1s;
 
 } // namespace
 
@@ -30,18 +30,18 @@
 void PlacementService::start() {
   framework::fibers::spawn([this] {
     while (true) {
-      sleepFor(TickEvery);
+      sleepFor(TickInterval);
       tick();
     }
   });
 }
 
-const fleet::Pool *PlacementService::declared(const PoolName &Pool) const {
+const fleet::Pool *PlacementService::findPool(const PoolName &Pool) const {
   return State_.Config_.tables().find<fleet::Pool>(Pool.str());
 }
 
 PlacementService::PoolState &PlacementService::poolState(const PoolName &Pool) {
-  const fleet::Pool *Declared = declared(Pool);
+  const fleet::Pool *Declared = findPool(Pool);
   const std::uint32_t Limit = Declared ? Declared->Spec_.QueueLimit_ : 0;
   const auto At = Pools_.try_emplace(Pool, Limit).first;
   At->second.Queue_.setLimit(Limit);
@@ -56,7 +56,7 @@
 // Arrival
 
 std::optional<Problem>
-PlacementService::refusalOnArrival(const WorkRequest &Request) {
+PlacementService::checkAdmission(const WorkRequest &Request) {
   const auto *Team =
       State_.Config_.tables().find<fleet::Team>(Request.Team_.str());
   if (!Team || Team->Spec_.Limit_ == 0)
@@ -83,7 +83,7 @@
       State_.now() + Wait > Request.Deadline_)
     return Problem{ProblemCode::WaitExceedsDeadline,
                    "the team's queue is longer than the time to the deadline",
-                   fleet::Outcome::NotRun, std::max(Wait, ShortestRetryAfter)};
+                   fleet::Outcome::NotRun, std::max(Wait, MinRetryAfter)};
   return std::nullopt;
 }
 
@@ -91,11 +91,11 @@
 PlacementService::place(const WorkRequest &Request, CancelToken &Cancel,
                         std::span<const EndpointIndex> Avoid,
                         Problem &Refusal) {
-  if (auto Refused = refusalOnArrival(Request)) {
+  if (auto Refused = checkAdmission(Request)) {
     Refusal = std::move(*Refused);
     return absl::ResourceExhaustedError("refused");
   }
-  auto Item = std::make_shared<Waiting>();
+  auto Item = std::make_shared<WaitingRequest>();
   Item->Ticket_ = {sharing::TicketId(++NextTicket_), Request.Team_,
                    Request.Class_, Request.Deadline_, State_.now()};
   Item->Request_ = &Request;
@@ -107,19 +107,19 @@
         Request.Pool_, Pool.Queue_.size(),
         State_.Endpoints_.openSlots(Request.Pool_));
     Refusal = {ProblemCode::QueueFull, std::string(Queued.message()),
-               fleet::Outcome::NotRun, std::max(Wait, ShortestRetryAfter)};
+               fleet::Outcome::NotRun, std::max(Wait, MinRetryAfter)};
     return Queued;
   }
   State_.Usage_.addWaiting(Request.Pool_, Request.Team_, 1);
   Tickets_[Item->Ticket_.Id_] = Item;
-  Cancel.onFire([Waiter = Item->Waiter_] { Waiter->signal(); });
-  pump(Request.Pool_);
+  Cancel.setListener([Waiter = Item->Waiter_] { Waiter->signal(); });
+  dispatchWaiting(Request.Pool_);
   if (!Item->Placement_)
     Item->Waiter_->waitUntil(Request.Deadline_);
-  Cancel.onFire(nullptr);
+  Cancel.setListener(nullptr);
   if (Item->Placement_)
     return *Item->Placement_;
-  leaveQueue(Item);
+  removeFromQueue(Item);
   if (Item->Refusal_)
     Refusal = *Item->Refusal_;
   else if (Cancel.cancelled())
@@ -130,11 +130,11 @@
   else
     Refusal = {ProblemCode::DeadlineInQueue,
                "no slot or permit was free before the deadline",
-               fleet::Outcome::NotRun, ShortestRetryAfter};
+               fleet::Outcome::NotRun, MinRetryAfter};
   return absl::DeadlineExceededError("not placed");
 }
 
-void PlacementService::leaveQueue(const WaitingPtr &Item) {
+void PlacementService::removeFromQueue(const WaitingRequestPtr &Item) {
   if (Tickets_.erase(Item->Ticket_.Id_) == 0)
     return;
   const PoolName &Pool = Item->Request_->Pool_;
@@ -142,18 +142,19 @@
   State_.Usage_.addWaiting(Pool, Item->Ticket_.Team_, -1);
 }
 
-void PlacementService::refuseWaiting(const WaitingPtr &Item, Problem Why) {
-  leaveQueue(Item);
+void PlacementService::rejectWaiting(const WaitingRequestPtr &Item,
+                                     Problem Why) {
+  removeFromQueue(Item);
   Item->Refusal_ = std::move(Why);
   Item->Waiter_->signal();
 }
 
 // Choice
 
-void PlacementService::pump(const PoolName &Pool) {
+void PlacementService::dispatchWaiting(const PoolName &Pool) {
   PoolState &Row = poolState(Pool);
   std::set<TeamName> Blocked;
-  Row.Starved_ = false;
+  Row.WaitingForSlot_ = false;
   while (true) {
     const TimePoint Now = State_.now();
     const sharing::Choice Next = Row.Queue_.choose(
@@ -161,34 +162,34 @@
          [this](const TeamName &Team) { return weightOf(Team); },
          [&](const TeamName &Team) { return !Blocked.contains(Team); }, Now});
     if (const auto *Chosen = std::get_if<Ticket>(&Next)) {
-      if (!startTicket(Pool, *Chosen, Blocked))
+      if (!tryStart(Pool, *Chosen, Blocked))
         break;
     } else if (const auto *Wish = std::get_if<PeerWish>(&Next)) {
-      if (!grantWish(Pool, *Wish))
+      if (!grantSlotLoan(Pool, *Wish))
         break;
     } else {
       break;
     }
   }
-  wishForSlots(Pool, Row);
+  requestSlotLoans(Pool, Row);
   if (!Blocked.empty())
-    wishForPermits();
+    requestPermitLoans();
 }
 
 /// Returns whether to go on choosing.
-bool PlacementService::startTicket(const PoolName &Pool, const Ticket &Chosen,
-                                   std::set<TeamName> &Blocked) {
+bool PlacementService::tryStart(const PoolName &Pool, const Ticket &Chosen,
+                                std::set<TeamName> &Blocked) {
   const auto Found = Tickets_.find(Chosen.Id_);
   if (Found == Tickets_.end()) {
     poolState(Pool).Queue_.cancel(Chosen.Id_);
     return true;
   }
-  const WaitingPtr Item = Found->second;
+  const WaitingRequestPtr Item = Found->second;
   const TimePoint Now = State_.now();
   const auto Team = State_.Ledger_.find(teamSubject(Chosen.Team_.str()));
   if (!Team || !State_.Ledger_.hasFree(*Team, Chosen.Deadline_, Now)) {
     Blocked.insert(Chosen.Team_);
-    TeamWishedAt_.try_emplace(Chosen.Team_);
+    TeamBorrowRequestedAt_.try_emplace(Chosen.Team_);
     return true;
   }
   const auto Endpoint = State_.Endpoints_.choose(
@@ -197,7 +198,7 @@
        Chosen.Deadline_, Now, Item->Avoid_},
       Random_);
   if (!Endpoint) {
-    poolState(Pool).Starved_ = true;
+    poolState(Pool).WaitingForSlot_ = true;
     // A request with endpoints to avoid must not hold up the others.
     if (Item->Avoid_.empty())
       return false;
@@ -209,7 +210,7 @@
   const auto Slot = State_.Ledger_.acquire(Row.Subject_, Chosen.Deadline_, Now);
   Item->Placement_ = Placement{*Endpoint, *TeamPermit, *Slot};
   State_.Endpoints_.started(*Endpoint);
-  leaveQueue(Item);
+  removeFromQueue(Item);
   State_.Usage_.addRunning(Pool, Chosen.Team_, 1);
   State_.Metrics_
       .counter(TeamPermit->Borrowed_ ? "permits_total{source=\"borrowed\"}"
@@ -231,7 +232,7 @@
   State_.Ledger_.release(Held.TeamPermit_);
   State_.Ledger_.release(Held.SlotPermit_);
   State_.Usage_.addRunning(Request.Pool_, Request.Team_, -1);
-  const fleet::Pool *Pool = declared(Request.Pool_);
+  const fleet::Pool *Pool = findPool(Request.Pool_);
   const auto Change = State_.Endpoints_.ended(
       Held.Endpoint_, How, Pool ? Pool->Spec_.EjectionCapPercent_ : 0,
       State_.now());
@@ -246,22 +247,22 @@
     State_.Estimates_.observed(Request.Pool_, Request.Team_, RunTime);
   std::erase_if(Preemptible_,
                 [&](const Preemptible &Row) { return Row.Cancel_ == &Cancel; });
-  serveTeamWishes(Request.Team_);
-  pump(Request.Pool_);
+  serveTeamBorrowRequests(Request.Team_);
+  dispatchWaiting(Request.Pool_);
 }
 
-void PlacementService::running(const WorkRequest &Request,
-                               CancelToken &Cancel) {
+void PlacementService::markRunning(const WorkRequest &Request,
+                                   CancelToken &Cancel) {
   if (Request.Class_ == fleet::RequestClass::Batch && Request.Repeatable_)
     Preemptible_.push_back({Request.Pool_, &Cancel});
 }
 
 // Upkeep
 
-void PlacementService::makeRoomForUrgent() {
+void PlacementService::preemptForUrgent() {
   for (auto &[Name, Row] : Pools_) {
     const PoolName &Pool = Name;
-    if (!Row.Queue_.urgentSince(State_.now() - UrgentPatience))
+    if (!Row.Queue_.urgentSince(State_.now() - UrgentWaitBeforePreemption))
       continue;
     const auto Victim = std::find_if(
         Preemptible_.begin(), Preemptible_.end(),
@@ -276,20 +277,20 @@
   }
 }
 
-void PlacementService::pumpAll() {
+void PlacementService::dispatchAllPools() {
   std::vector<PoolName> Names;
   for (const auto &[Pool, Row] : Pools_)
     Names.push_back(Pool);
   for (const PoolName &Pool : Names)
-    pump(Pool);
+    dispatchWaiting(Pool);
 }
 
 void PlacementService::refresh() {
-  pumpAll();
+  dispatchAllPools();
   for (auto It = Tickets_.begin(); It != Tickets_.end();) {
-    const WaitingPtr Item = (It++)->second;
-    if (!declared(Item->Request_->Pool_))
-      refuseWaiting(Item, {ProblemCode::UnknownPool,
+    const WaitingRequestPtr Item = (It++)->second;
+    if (!findPool(Item->Request_->Pool_))
+      rejectWaiting(Item, {ProblemCode::UnknownPool,
                            "the pool was deleted",
                            fleet::Outcome::NotRun,
                            {}});
@@ -301,14 +302,14 @@
   State_.Ledger_.tick(Now);
   State_.Homes_.tick(Now);
   State_.Endpoints_.tick(Now);
-  pumpAll();
-  wishForPermits();
+  dispatchAllPools();
+  requestPermitLoans();
   returnIdleLoans();
-  makeRoomForUrgent();
+  preemptForUrgent();
 }
 
-std::vector<PlacementService::QueueRow> PlacementService::queues() const {
-  std::vector<QueueRow> Result;
+std::vector<PlacementService::QueueLength> PlacementService::queues() const {
+  std::vector<QueueLength> Result;
   for (const auto &[Pool, Row] : Pools_)
     for (const TeamName &Team : Row.Queue_.teams())
       Result.push_back({Pool, Team, Row.Queue_.waiting(Team)});
--- a/src/entry/internal/plannerservice.cpp
+++ b/src/entry/internal/plannerservice.cpp
@@ -17,21 +17,21 @@
 
 namespace {
 
-constexpr Duration TickEvery = 500ms;
+constexpr Duration TickInterval = 500ms;
 /// The pause is at least so many times the last tick's decisions, which keeps
 /// them below 1% of a core: at 11,000 VMs with a wave a tick takes 9 ms.
-constexpr int TicksPerCore = 100;
+constexpr int MinPauseToTickRatio = 100;
 /// While another entry is seen to hold the lease, one is tried for only this
 /// often: for the case that the watch missed its end.
-constexpr Duration TryHeldLeaseEvery = 30s;
-constexpr Duration KeepLeaseEvery = 1500ms;
-constexpr std::int64_t LeaseSeconds = 5;
+constexpr Duration HeldLeaseRetryInterval = 30s;
+constexpr Duration LeaseRenewInterval = 1500ms;
+constexpr std::int64_t LeaseTtlSeconds = 5;
 constexpr Duration CallTimeout = 2s;
 constexpr Duration ProbeTimeout = 1s;
-constexpr Duration AskRebootEvery = 2s;
+constexpr Duration RebootRequestInterval = 2s;
 /// Lists in a row that must lack a member's VM, so that one that is cut short
 /// removes nobody.
-constexpr int MissingLists = 5;
+constexpr int MissingListsBeforeRemoval = 5;
 
 } // namespace
 
@@ -54,7 +54,7 @@
     const bool Able = State_.Started_ && !State_.Leaving_ && State_.isMember();
     if (Able && refreshLease())
       tick();
-    sleepFor(std::max(TickEvery, TicksPerCore * LastTick_));
+    sleepFor(std::max(TickInterval, MinPauseToTickRatio * LastTick_));
   }
 }
 
@@ -62,7 +62,7 @@
 
 bool PlannerService::acquireLease() {
   const auto Granted =
-      Store_.grantLease(LeaseSeconds, State_.now() + CallTimeout);
+      Store_.grantLease(LeaseTtlSeconds, State_.now() + CallTimeout);
   if (!Granted.ok())
     return false;
   store::Transaction Txn;
@@ -74,35 +74,37 @@
     return false;
   Lease_ = *Granted;
   LeaseRevision_ = Done->StoreRevision_;
-  KeptAt_ = State_.now();
-  Expected_ = LeaseRevision_;
+  LeaseRenewedAt_ = State_.now();
+  LastWriteRevision_ = LeaseRevision_;
   State_.Decisions_.add(DecisionKind::Membership, State_.Self_.Id_.Name_.str(),
                         "planner", "holds the planner lease");
   return true;
 }
 
-void PlannerService::loseLease() {
+void PlannerService::onLeaseLost() {
   LeaseRevision_ = fleet::Revision(0);
   Probes_.clear();
-  MissingInLists_.clear();
+  MissingListCounts_.clear();
 }
 
 bool PlannerService::refreshLease() {
   if (!holdsLease()) {
-    if (State_.PlannerSeen_ && State_.now() - TriedAt_ < TryHeldLeaseEvery)
+    if (State_.PlannerLeaseSeen_ &&
+        State_.now() - LeaseAttemptedAt_ < HeldLeaseRetryInterval)
       return false;
-    TriedAt_ = State_.now();
+    LeaseAttemptedAt_ = State_.now();
     return acquireLease();
   }
-  if (State_.now() - KeptAt_ < KeepLeaseEvery)
+  if (State_.now() - LeaseRenewedAt_ < LeaseRenewInterval)
     return true;
   const auto Kept = Store_.keepLease(Lease_, State_.now() + CallTimeout);
   if (Kept.ok() && *Kept) {
-    KeptAt_ = State_.now();
+    LeaseRenewedAt_ = State_.now();
     return true;
   }
-  if (Kept.ok() || State_.now() - KeptAt_ > std::chrono::seconds(LeaseSeconds))
-    loseLease();
+  if (Kept.ok() ||
+      State_.now() - LeaseRenewedAt_ > std::chrono::seconds(LeaseTtlSeconds))
+    onLeaseLost();
   return false;
 }
 
@@ -112,19 +114,19 @@
   // The state seen here lags behind this planner's own writes. Deciding before
   // they have come back would, for one, take a second VM for a place in the
   // budget that the first already has.
-  if (State_.Config_.revision() < Expected_)
+  if (State_.Config_.revision() < LastWriteRevision_)
     return;
   if (!Directory_.refresh(State_.now() + CallTimeout).ok())
     return;
-  probeReturned();
+  probeVmsOnProbation();
   const TimePoint Start = State_.now();
   const maintenance::Plan Steps = maintenance::planWaves(
       State_.Config_.tables(),
       {Directory_.vms(),
        [this](const std::string &Name) {
          return Membership_
-             .drainState(fleet::VmName(Name),
-                         State_.Config_.inForceAt(fleet::Kind::Vms, Name))
+             .drainState(fleet::VmName(Name), State_.Config_.lastWriteRevision(
+                                                  fleet::Kind::Vms, Name))
              .drained();
        },
        [this](const std::string &Name) { return Probes_[Name]; }, Start});
@@ -152,7 +154,7 @@
     applyWave(Step);
   for (const auto &Step : Moves)
     applyMove(Step);
-  removeLostEntries();
+  removeEntriesOfDeletedVms();
 }
 
 template <typename T>
@@ -167,7 +169,7 @@
   State_.Metrics_.counter("planner_writes_total").add();
   if (!Done.ok())
     return Done.status();
-  Expected_ = std::max(Expected_, Done->Revision_);
+  LastWriteRevision_ = std::max(LastWriteRevision_, Done->Revision_);
   return absl::OkStatus();
 }
 
@@ -189,15 +191,15 @@
 
 void PlannerService::applyVm(const maintenance::VmAction &Step) {
   if (Step.Kind_ == ActionKind::Reboot) {
-    TimePoint &Asked = RebootAskedAt_[Step.Vm_];
-    if (State_.now() - Asked < AskRebootEvery)
+    TimePoint &Asked = RebootRequestedAt_[Step.Vm_];
+    if (State_.now() - Asked < RebootRequestInterval)
       return;
     Asked = State_.now();
-    const absl::Status Done = Directory_.reboot(Step.Vm_, Step.To_.BootBefore_,
-                                                State_.now() + CallTimeout);
+    const absl::Status Done = Directory_.reboot(
+        Step.Vm_, Step.To_.BootIdBeforeReboot_, State_.now() + CallTimeout);
     if (Done.ok())
       State_.Decisions_.add(DecisionKind::Reboot, Step.Vm_, "asked",
-                            "boot " + Step.To_.BootBefore_);
+                            "boot " + Step.To_.BootIdBeforeReboot_);
     return;
   }
   const absl::Status Done =
@@ -234,7 +236,7 @@
 void PlannerService::applyMove(const pools::Move &Step) {
   const absl::Status Done =
       write<Vm>(Step.Vm_, [&](std::optional<Vm> &Object) -> absl::Status {
-        if (!Object || fleet::poolOf(*Object) != Step.From_ ||
+        if (!Object || fleet::currentPool(*Object) != Step.From_ ||
             Object->Status_.Phase_ != fleet::VmPhase::Active)
           return absl::AbortedError("the VM has changed");
         Object->Status_.LentTo_ = Step.Home_ ? fleet::PoolName() : Step.To_;
@@ -270,7 +272,7 @@
     Row.GoodInRow_ = 0;
 }
 
-void PlannerService::probeReturned() {
+void PlannerService::probeVmsOnProbation() {
   std::set<std::string> Wanted;
   for (const auto &[Name, Machine] : State_.Config_.tables().Vms_)
     if (Machine.Status_.Phase_ == fleet::VmPhase::Probation)
@@ -281,19 +283,20 @@
     framework::fibers::spawn([this, Name] { probe(Name); });
 }
 
-void PlannerService::removeLostEntries() {
-  for (const membership::Member &Member : State_.others()) {
+void PlannerService::removeEntriesOfDeletedVms() {
+  for (const membership::Member &Member : State_.otherMembers()) {
     if (Directory_.vms().contains(Member.Vm_.str())) {
-      MissingInLists_[Member.Id_] = 0;
+      MissingListCounts_[Member.Id_] = 0;
       continue;
     }
     if (State_.Contact_.inTouch(Member.Id_, State_.now()))
       continue;
     // Only a VM that the platform has listed before can be missing from it.
-    const auto Row = MissingInLists_.find(Member.Id_);
-    if (Row == MissingInLists_.end() || ++Row->second < MissingLists)
+    const auto Row = MissingListCounts_.find(Member.Id_);
+    if (Row == MissingListCounts_.end() ||
+        ++Row->second < MissingListsBeforeRemoval)
       continue;
-    MissingInLists_.erase(Row);
+    MissingListCounts_.erase(Row);
     Membership_
         .declareStopped(Member.Id_, "its VM is gone from the platform's list")
         .IgnoreError();
--- a/src/entry/internal/requestrunner.cpp
+++ b/src/entry/internal/requestrunner.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr std::size_t PartBytes = 16 * 1024;
+constexpr std::size_t ReadChunkBytes = 16 * 1024;
 /// Endpoints that are tried for one request before it is given up.
-constexpr std::size_t MostTries = 6;
-constexpr Duration RetryAfterCutOff = std::chrono::seconds(2);
+constexpr std::size_t MaxAttempts = 6;
+constexpr Duration HomesUnreachableRetryAfter = std::chrono::seconds(2);
 
 std::int64_t retryAfterSeconds(Duration Time) {
   return std::chrono::ceil<std::chrono::seconds>(Time).count();
@@ -52,7 +52,8 @@
   return false;
 }
 
-http::Response callerHead(const http::Response &From, fleet::Outcome Known) {
+http::Response callerResponseHead(const http::Response &From,
+                                  fleet::Outcome Known) {
   http::Response Head;
   Head.Status_ = From.Status_;
   for (const http::Header &Field : From.Headers_.all())
@@ -71,15 +72,15 @@
 } // namespace
 
 /// One request on its way.
-struct RequestRunner::Run {
+struct RequestRunner::ActiveRequest {
   http::Exchange &Call_;
   const WorkRequest &Request_;
-  const StillGranted &Granted_;
+  const KeyValidator &KeyIsValid_;
   CancelToken Cancel_;
   RequestBody Body_;
   std::optional<Reservation> Reservation_;
-  std::vector<routing::EndpointIndex> Tried_;
-  bool Over_ = false;
+  std::vector<routing::EndpointIndex> TriedEndpoints_;
+  bool Finished_ = false;
   /// Set once a byte may have reached an endpoint that did not refuse.
   bool MayHaveRun_ = false;
 };
@@ -96,93 +97,93 @@
 }
 
 /// Ends the request with a problem and frees its key if nothing has left.
-void RequestRunner::fail(Run &Work, Problem Why) {
-  Work.Over_ = true;
-  if (Work.MayHaveRun_)
+void RequestRunner::fail(ActiveRequest &Active, Problem Why) {
+  Active.Finished_ = true;
+  if (Active.MayHaveRun_)
     Why.Outcome_ = fleet::Outcome::Unknown;
-  if (Work.Reservation_) {
+  if (Active.Reservation_) {
     if (Why.Outcome_ == fleet::Outcome::NotRun)
-      Reservations_.abandon(*Work.Reservation_);
+      Reservations_.abandon(*Active.Reservation_);
     else
-      Reservations_.finish(*Work.Reservation_, RecordState::Unknown, {});
+      Reservations_.finish(*Active.Reservation_, RecordState::Unknown, {});
   }
-  refuse(Work.Call_, Why,
-         Work.Request_.Pool_.str() + "/" + Work.Request_.Team_.str());
+  refuse(Active.Call_, Why,
+         Active.Request_.Pool_.str() + "/" + Active.Request_.Team_.str());
 }
 
-bool RequestRunner::readPrefix(Run &Work) {
+bool RequestRunner::readPrefix(ActiveRequest &Active) {
   bool More = true;
-  while (More && Work.Body_.Prefix_.size() < BufferedBytes) {
+  while (More && Active.Body_.Prefix_.size() < MaxBufferedBodyBytes) {
     const absl::StatusOr<bool> Next =
-        Work.Call_.readSome(Work.Body_.Prefix_, PartBytes);
+        Active.Call_.readSome(Active.Body_.Prefix_, ReadChunkBytes);
     if (!Next.ok()) {
       ProblemCode Code = ProblemCode::BadRequest;
       if (absl::IsResourceExhausted(Next.status()))
         Code = ProblemCode::BodyTooLarge;
       if (absl::IsDeadlineExceeded(Next.status()))
         Code = ProblemCode::SlowSender;
-      fail(Work, {Code,
-                  std::string(Next.status().message()),
-                  fleet::Outcome::NotRun,
-                  {}});
+      fail(Active, {Code,
+                    std::string(Next.status().message()),
+                    fleet::Outcome::NotRun,
+                    {}});
       return false;
     }
     More = *Next;
   }
-  Work.Body_.Length_ = Work.Body_.Prefix_.size();
+  Active.Body_.Length_ = Active.Body_.Prefix_.size();
   if (!More)
     return true;
-  const auto Length = Work.Call_.contentLength();
+  const auto Length = Active.Call_.contentLength();
   if (!Length) {
-    fail(Work, {ProblemCode::BodyTooLarge,
-                "a body above 64 KiB needs a Content-Length",
-                fleet::Outcome::NotRun,
-                {}});
+    fail(Active, {ProblemCode::BodyTooLarge,
+                  "a body above 64 KiB needs a Content-Length",
+                  fleet::Outcome::NotRun,
+                  {}});
     return false;
   }
-  Work.Body_.Length_ = *Length;
-  Work.Body_.Rest_ = &Work.Call_;
+  Active.Body_.Length_ = *Length;
+  Active.Body_.Rest_ = &Active.Call_;
   return true;
 }
 
-bool RequestRunner::reserve(Run &Work) {
-  if (Work.Request_.Repeatable_)
+bool RequestRunner::reserve(ActiveRequest &Active) {
+  if (Active.Request_.Repeatable_)
     return true;
   const TimePoint Start = State_.now();
   const ReservationResult Result = Reservations_.reserve(
-      Work.Request_, fingerprintOf(Work.Request_, Work.Body_));
+      Active.Request_, fingerprintOf(Active.Request_, Active.Body_));
   State_.Metrics_.summary("reservation_seconds")
       .record(std::chrono::duration<double>(State_.now() - Start).count());
   switch (Result.Verdict_) {
   case Verdict::Granted:
-    Work.Reservation_ = Result.Reservation_;
+    Active.Reservation_ = Result.Reservation_;
     return true;
   case Verdict::Duplicate:
-    answerDuplicate(Work, Result);
+    answerDuplicate(Active, Result);
     return false;
   case Verdict::Unknown:
-    fail(Work, {ProblemCode::OutcomeUnknown,
-                "the records of the time when the key was minted are lost",
-                fleet::Outcome::Unknown,
-                {}});
+    fail(Active, {ProblemCode::OutcomeUnknown,
+                  "the records of the time when the key was minted are lost",
+                  fleet::Outcome::Unknown,
+                  {}});
     return false;
   case Verdict::Open:
   case Verdict::Retry:
     break;
   }
-  fail(Work, {ProblemCode::HomesUnreachable,
-              "most entries that remember this key cannot be reached",
-              fleet::Outcome::NotRun, RetryAfterCutOff});
+  fail(Active, {ProblemCode::HomesUnreachable,
+                "most entries that remember this key cannot be reached",
+                fleet::Outcome::NotRun, HomesUnreachableRetryAfter});
   return false;
 }
 
-void RequestRunner::answerDuplicate(Run &Work,
+void RequestRunner::answerDuplicate(ActiveRequest &Active,
                                     const ReservationResult &Result) {
   const idempotency::Record &Found = Result.Found_;
-  Work.Over_ = true;
+  Active.Finished_ = true;
   const std::string Subject = Result.Reservation_.Name_.str();
   if (Found.Fingerprint_ != Result.Reservation_.Fingerprint_)
-    return refuse(Work.Call_,
+    return refuse(Active.Call_,
                   {ProblemCode::KeyReused,
                    "the key was used for another request",
                    fleet::Outcome::NotRun,
@@ -196,10 +197,10 @@
     Answer.Headers_.add("Request-Outcome", fleet::nameOf(fleet::Outcome::Ran));
     Answer.Headers_.add("Idempotent-Replay", "true");
     Answer.Body_ = Found.Answer_.Body_;
-    return Work.Call_.reply(Answer);
+    return Active.Call_.reply(Answer);
   }
   if (Found.State_ == RecordState::Ran)
-    return refuse(Work.Call_,
+    return refuse(Active.Call_,
                   {ProblemCode::AlreadyRan,
                    "it has run with status " +
                        std::to_string(Found.Answer_.Status_) +
@@ -209,12 +210,12 @@
                   Subject);
   const Duration Left = Found.LeaseUntil_ - State_.now();
   if (Found.State_ == RecordState::Reserved && Left > Duration(0))
-    return refuse(Work.Call_,
+    return refuse(Active.Call_,
                   {ProblemCode::InProgress,
                    "another attempt with this key is under way",
                    fleet::Outcome::Unknown, Left},
                   Subject);
-  refuse(Work.Call_,
+  refuse(Active.Call_,
          {ProblemCode::OutcomeUnknown,
           "an earlier attempt with this key may have run",
           fleet::Outcome::Unknown,
@@ -222,89 +223,91 @@
          Subject);
 }
 
-bool RequestRunner::mayRetry(Run &Work, const ForwardResult &Result) {
-  const bool NotStarted = Result.Kind_ == ForwardKind::NotSent ||
-                          Result.Kind_ == ForwardKind::Refused;
-  if (Work.Tried_.size() >= MostTries ||
-      State_.now() >= Work.Request_.Deadline_ || Work.Cancel_.cancelled())
+bool RequestRunner::mayRetry(ActiveRequest &Active,
+                             const ForwardResult &Result) {
+  const bool NotStarted = Result.Kind_ == ForwardStatus::NotSent ||
+                          Result.Kind_ == ForwardStatus::Refused;
+  if (Active.TriedEndpoints_.size() >= MaxAttempts ||
+      State_.now() >= Active.Request_.Deadline_ || Active.Cancel_.cancelled())
     return false;
   // The rest of a streamed body has been read and cannot be sent again.
-  if (Work.Body_.Rest_ && Result.Kind_ != ForwardKind::NotSent)
+  if (Active.Body_.Rest_ && Result.Kind_ != ForwardStatus::NotSent)
     return false;
-  // Work that did not start adds no load, so it needs no budget.
-  return NotStarted ||
-         (Work.Request_.Repeatable_ && budgetOf(Work.Request_.Pool_).take());
+  // Active that did not start adds no load, so it needs no budget.
+  return NotStarted || (Active.Request_.Repeatable_ &&
+                        budgetOf(Active.Request_.Pool_).take());
 }
 
-void RequestRunner::runOn(Run &Work, const Placement &At) {
+void RequestRunner::runAttempt(ActiveRequest &Active, const Placement &At) {
   const TimePoint Start = State_.now();
-  if (Work.Cancel_.cancelled() || !Work.Granted_() || State_.fenced()) {
-    Placements_.finish(Work.Request_, At, routing::Exchange::Refused, {},
-                       Work.Cancel_);
-    const bool Cancelled = Work.Cancel_.cancelled();
-    return fail(Work, {Cancelled         ? ProblemCode::Cancelled
-                       : Work.Granted_() ? ProblemCode::CutOff
-                                         : ProblemCode::UnknownKey,
-                       Cancelled ? "cancelled while waiting"
-                                 : "the key was withdrawn, or this entry was "
-                                   "cut off, while the request waited",
-                       fleet::Outcome::NotRun,
-                       {}});
+  if (Active.Cancel_.cancelled() || !Active.KeyIsValid_() || State_.fenced()) {
+    Placements_.finish(Active.Request_, At, routing::Exchange::Refused, {},
+                       Active.Cancel_);
+    const bool Cancelled = Active.Cancel_.cancelled();
+    return fail(Active, {Cancelled              ? ProblemCode::Cancelled
+                         : Active.KeyIsValid_() ? ProblemCode::CutOff
+                                                : ProblemCode::UnknownKey,
+                         Cancelled ? "cancelled while waiting"
+                                   : "the key was withdrawn, or this entry was "
+                                     "cut off, while the request waited",
+                         fleet::Outcome::NotRun,
+                         {}});
   }
-  Placements_.running(Work.Request_, Work.Cancel_);
+  Placements_.markRunning(Active.Request_, Active.Cancel_);
   ForwardResult Result =
-      Forward_.forward(Work.Request_, At, Work.Body_, Work.Cancel_);
-  const bool Preempted = Work.Cancel_.preempted();
+      Forward_.forward(Active.Request_, At, Active.Body_, Active.Cancel_);
+  const bool Preempted = Active.Cancel_.preempted();
   routing::Exchange How = routing::Exchange::Failed;
-  if (Result.Kind_ == ForwardKind::Answered && Result.Answer_.Status_ < 500)
+  if (Result.Kind_ == ForwardStatus::Answered && Result.Answer_.Status_ < 500)
     How = routing::Exchange::Succeeded;
-  if (Result.Kind_ == ForwardKind::Refused ||
-      Result.Kind_ == ForwardKind::CallerFailed || Preempted ||
-      Work.Cancel_.cancelled())
+  if (Result.Kind_ == ForwardStatus::Refused ||
+      Result.Kind_ == ForwardStatus::CallerFailed || Preempted ||
+      Active.Cancel_.cancelled())
     How = routing::Exchange::Refused;
   const std::string Address = State_.Endpoints_.at(At.Endpoint_).Address_;
-  if (Result.Kind_ == ForwardKind::Answered) {
-    noteAnswer(Work, Result);
-    deliver(Work, Result);
-    Placements_.finish(Work.Request_, At, How, State_.now() - Start,
-                       Work.Cancel_);
-    return Forward_.done(Address, Result.Link_);
+  if (Result.Kind_ == ForwardStatus::Answered) {
+    recordAnswer(Active, Result);
+    deliver(Active, Result);
+    Placements_.finish(Active.Request_, At, How, State_.now() - Start,
+                       Active.Cancel_);
+    return Forward_.releaseConnection(Address, Result.Connection_);
   }
-  Placements_.finish(Work.Request_, At, How, State_.now() - Start,
-                     Work.Cancel_);
-  if (Result.Kind_ == ForwardKind::Refused)
-    Forward_.done(Address, Result.Link_);
-  if (Result.Kind_ == ForwardKind::Lost ||
-      Result.Kind_ == ForwardKind::CallerFailed)
-    Work.MayHaveRun_ = true;
-  if (Preempted && !Work.Cancel_.cancelled()) {
-    Work.Cancel_.clearPreemption();
+  Placements_.finish(Active.Request_, At, How, State_.now() - Start,
+                     Active.Cancel_);
+  if (Result.Kind_ == ForwardStatus::Refused)
+    Forward_.releaseConnection(Address, Result.Connection_);
+  if (Result.Kind_ == ForwardStatus::Unanswered ||
+      Result.Kind_ == ForwardStatus::CallerFailed)
+    Active.MayHaveRun_ = true;
+  if (Preempted && !Active.Cancel_.cancelled()) {
+    Active.Cancel_.clearPreemption();
     return;
   }
-  Work.Tried_.push_back(At.Endpoint_);
-  if (mayRetry(Work, Result)) {
+  Active.TriedEndpoints_.push_back(At.Endpoint_);
+  if (mayRetry(Active, Result)) {
     State_.Metrics_
-        .counter(Result.Kind_ == ForwardKind::Lost
+        .counter(Result.Kind_ == ForwardStatus::Unanswered
                      ? "retries_total{started=\"maybe\"}"
                      : "retries_total{started=\"no\"}")
         .add();
     return;
   }
-  if (Work.Cancel_.cancelled())
-    return fail(Work, {ProblemCode::Cancelled,
-                       "cancelled while running",
-                       fleet::Outcome::NotRun,
-                       {}});
-  const bool Late = State_.now() >= Work.Request_.Deadline_;
-  fail(Work, {Late ? ProblemCode::AnswerLost : ProblemCode::EndpointFailed,
-              Result.Reason_, fleet::Outcome::NotRun,
-              Duration(std::chrono::seconds(1))});
+  if (Active.Cancel_.cancelled())
+    return fail(Active, {ProblemCode::Cancelled,
+                         "cancelled while running",
+                         fleet::Outcome::NotRun,
+                         {}});
+  const bool Late = State_.now() >= Active.Request_.Deadline_;
+  fail(Active, {Late ? ProblemCode::AnswerLost : ProblemCode::EndpointFailed,
+                Result.Reason_, fleet::Outcome::NotRun,
+                Duration(std::chrono::seconds(1))});
 }
 
 /// Records the answer with the key's homes before the caller sees it.
-void RequestRunner::noteAnswer(Run &Work, const ForwardResult &Result) {
+void RequestRunner::recordAnswer(ActiveRequest &Active,
+                                 const ForwardResult &Result) {
   State_.Metrics_.counter("requests_total{outcome=\"ran\"}").add();
-  if (!Work.Reservation_)
+  if (!Active.Reservation_)
     return;
   idempotency::KeptAnswer Kept;
   Kept.Status_ = Result.Answer_.Status_;
@@ -314,84 +317,87 @@
                 Result.Answer_.Body_.size() <= idempotency::KeptAnswerBytes;
   if (Kept.Whole_)
     Kept.Body_ = Result.Answer_.Body_;
-  Reservations_.finish(*Work.Reservation_, RecordState::Ran, Kept);
+  Reservations_.finish(*Active.Reservation_, RecordState::Ran, Kept);
 }
 
-void RequestRunner::deliver(Run &Work, const ForwardResult &Result) {
-  Work.Over_ = true;
+void RequestRunner::deliver(ActiveRequest &Active,
+                            const ForwardResult &Result) {
+  Active.Finished_ = true;
   if (Result.More_)
-    return deliverStream(Work, Result);
-  http::Response Answer = callerHead(Result.Answer_, fleet::Outcome::Ran);
+    return deliverStream(Active, Result);
+  http::Response Answer =
+      callerResponseHead(Result.Answer_, fleet::Outcome::Ran);
   Answer.Body_ = Result.Answer_.Body_;
-  Work.Call_.reply(Answer);
+  Active.Call_.reply(Answer);
 }
 
-void RequestRunner::deliverStream(Run &Work, const ForwardResult &Result) {
-  const auto Length = Result.Link_->answerLength();
+void RequestRunner::deliverStream(ActiveRequest &Active,
+                                  const ForwardResult &Result) {
+  const auto Length = Result.Connection_->answerLength();
   const std::uint64_t Limit = State_.Settings_.AnswerBytes_;
   if (Length && *Length > Limit)
-    return refuse(Work.Call_,
+    return refuse(Active.Call_,
                   {ProblemCode::AnswerTooLarge,
                    "the endpoint's answer is larger than the limit",
                    fleet::Outcome::Ran,
                    {}},
-                  Work.Request_.Pool_.str());
-  Work.Call_.beginReply(callerHead(Result.Answer_, fleet::Outcome::Ran),
-                        Length);
+                  Active.Request_.Pool_.str());
+  Active.Call_.beginReply(
+      callerResponseHead(Result.Answer_, fleet::Outcome::Ran), Length);
   std::string Part = Result.Answer_.Body_;
   std::uint64_t Sent = 0;
   for (bool More = true; More || !Part.empty();) {
     Sent += Part.size();
     // A caller must never take a part for the whole: the connection breaks
     // before the announced end.
-    if (Sent > Limit || !Work.Call_.write(Part).ok())
-      return Work.Call_.abort();
+    if (Sent > Limit || !Active.Call_.write(Part).ok())
+      return Active.Call_.abort();
     Part.clear();
     if (!More)
       break;
-    const auto Next =
-        Result.Link_->readSome(Part, PartBytes, Work.Request_.Deadline_);
+    const auto Next = Result.Connection_->readSome(Part, ReadChunkBytes,
+                                                   Active.Request_.Deadline_);
     if (!Next.ok())
-      return Work.Call_.abort();
+      return Active.Call_.abort();
     More = *Next;
   }
-  Work.Call_.endReply();
+  Active.Call_.endReply();
 }
 
 void RequestRunner::run(http::Exchange &Call, const WorkRequest &Request,
-                        const StillGranted &Granted) {
-  Run Work{Call, Request, Granted, {}, {}, {}, {}, false, false};
+                        const KeyValidator &KeyIsValid) {
+  ActiveRequest Active{Call, Request, KeyIsValid, {}, {}, {}, {}, false, false};
   ++InFlight_;
   std::optional<std::multimap<idempotency::RecordName, CancelToken *>::iterator>
       Listed;
   if (Request.Key_)
-    Listed = ByName_.emplace(
-        idempotency::recordName(Request.Team_, *Request.Key_), &Work.Cancel_);
-  if (readPrefix(Work) && reserve(Work)) {
+    Listed = CancelTokens_.emplace(
+        idempotency::recordName(Request.Team_, *Request.Key_), &Active.Cancel_);
+  if (readPrefix(Active) && reserve(Active)) {
     budgetOf(Request.Pool_).requestStarted();
-    if (!Work.Body_.Rest_) {
+    if (!Active.Body_.Rest_) {
       // The exchange may be over before the caller goes; the token is reached
       // only through it.
-      Call.onCallerGone([&Work] { Work.Cancel_.cancel(); });
+      Call.onCallerGone([&Active] { Active.Cancel_.cancel(); });
     }
-    while (!Work.Over_) {
+    while (!Active.Finished_) {
       Problem Refusal;
-      const absl::StatusOr<Placement> At =
-          Placements_.place(Request, Work.Cancel_, Work.Tried_, Refusal);
+      const absl::StatusOr<Placement> At = Placements_.place(
+          Request, Active.Cancel_, Active.TriedEndpoints_, Refusal);
       if (At.ok())
-        runOn(Work, *At);
+        runAttempt(Active, *At);
       else
-        fail(Work, Refusal);
+        fail(Active, Refusal);
     }
   }
   Call.onCallerGone(nullptr);
   if (Listed)
-    ByName_.erase(*Listed);
+    CancelTokens_.erase(*Listed);
   --InFlight_;
 }
 
 bool RequestRunner::cancel(const idempotency::RecordName &Name) {
-  const auto [First, Last] = ByName_.equal_range(Name);
+  const auto [First, Last] = CancelTokens_.equal_range(Name);
   std::vector<CancelToken *> Tokens;
   for (auto It = First; It != Last; ++It)
     Tokens.push_back(It->second);
--- a/src/entry/internal/reservationservice.cpp
+++ b/src/entry/internal/reservationservice.cpp
@@ -14,10 +14,10 @@
 /// A home that has not answered by then counts as hung; the two others decide.
 constexpr Duration ReplyTimeout = 400ms;
 /// While a view changes, homes answer OtherView or NotReady for a moment.
-constexpr Duration FirstPause = 10ms;
-constexpr Duration LongestPause = 320ms;
-constexpr Duration RetryFor = 2s;
-constexpr Duration CopyEvery = 100ms;
+constexpr Duration InitialRetryDelay = 10ms;
+constexpr Duration MaxRetryDelay = 320ms;
+constexpr Duration RetryTimeout = 2s;
+constexpr Duration CopyInterval = 100ms;
 
 } // namespace
 
@@ -29,13 +29,13 @@
   while (true) {
     for (const auto &Wanted : State_.Homes_.wantedCopies())
       State_.Send_(Wanted.Source_, Wanted);
-    sleepFor(CopyEvery);
+    sleepFor(CopyInterval);
   }
 }
 
 template <typename Message>
-void ReservationService::toHomes(const idempotency::RecordName &Name,
-                                 const Message &Body) {
+void ReservationService::sendToHomes(const idempotency::RecordName &Name,
+                                     const Message &Body) {
   for (const MemberId &Home :
        idempotency::homesOf(State_.View_, idempotency::bucketOf(Name))) {
     if (Home == State_.Self_.Id_)
@@ -47,9 +47,10 @@
 
 ReservationResult ReservationService::reserve(const WorkRequest &Request,
                                               std::uint64_t Fingerprint) {
-  const TimePoint GiveUp = std::min(Request.Deadline_, State_.now() + RetryFor);
+  const TimePoint GiveUp =
+      std::min(Request.Deadline_, State_.now() + RetryTimeout);
   for (int Try = 1;; ++Try) {
-    ReservationResult Result = tryOnce(Request, Fingerprint);
+    ReservationResult Result = attemptReservation(Request, Fingerprint);
     // The first attempt may be about to end, or its end may be on its way to
     // the homes: its answer is better than "in progress".
     const bool UnderWay =
@@ -59,43 +60,45 @@
     if ((Result.Verdict_ != Verdict::Retry && !UnderWay) ||
         State_.now() >= GiveUp)
       return Result;
-    sleepFor(pauseBefore(Try));
+    sleepFor(retryDelay(Try));
   }
 }
 
 /// Attempts with one key that start together each take a home from the others
 /// and all give up. With equal pauses they would do so again and again; random
 /// ones that grow let one of them through.
-Duration ReservationService::pauseBefore(int Try) {
+Duration ReservationService::retryDelay(int Try) {
   const Duration Most =
-      std::min(FirstPause * (1 << std::min(Try, 10)), LongestPause);
+      std::min(InitialRetryDelay * (1 << std::min(Try, 10)), MaxRetryDelay);
   return Duration(Random_() % static_cast<std::uint64_t>(Most.count()) + 1000);
 }
 
-ReservationResult ReservationService::tryOnce(const WorkRequest &Request,
-                                              std::uint64_t Fingerprint) {
-  ReserveRequest Asked;
-  Asked.Name_ = idempotency::recordName(Request.Team_, *Request.Key_);
-  Asked.MintedAt_ = Request.Key_->MintedAt_;
-  Asked.Attempt_ = {State_.Self_.Id_, ++NextAttempt_};
-  Asked.View_ = State_.View_.Number_;
-  Asked.LeaseUntil_ = Request.Deadline_;
-  Asked.Fingerprint_ = Fingerprint;
-  auto Row = std::make_shared<Pending>(Pending{
-      {Asked.Attempt_,
-       idempotency::homesOf(State_.View_, idempotency::bucketOf(Asked.Name_))},
-      std::make_shared<framework::fibers::Waiter>()});
-  Pending_[Asked.Attempt_.Sequence_] = Row;
-  toHomes(Asked.Name_, Asked);
+ReservationResult
+ReservationService::attemptReservation(const WorkRequest &Request,
+                                       std::uint64_t Fingerprint) {
+  ReserveRequest Message;
+  Message.Name_ = idempotency::recordName(Request.Team_, *Request.Key_);
+  Message.MintedAt_ = Request.Key_->MintedAt_;
+  Message.Attempt_ = {State_.Self_.Id_, ++NextAttempt_};
+  Message.View_ = State_.View_.Number_;
+  Message.LeaseUntil_ = Request.Deadline_;
+  Message.Fingerprint_ = Fingerprint;
+  auto Row = std::make_shared<Pending>(
+      Pending{{Message.Attempt_,
+               idempotency::homesOf(State_.View_,
+                                    idempotency::bucketOf(Message.Name_))},
+              std::make_shared<framework::fibers::Waiter>()});
+  Pending_[Message.Attempt_.Sequence_] = Row;
+  sendToHomes(Message.Name_, Message);
   if (Row->Tally_.verdict(false) == Verdict::Open)
     Row->Waiter_->waitUntil(
         std::min(Request.Deadline_, State_.now() + ReplyTimeout));
-  Pending_.erase(Asked.Attempt_.Sequence_);
+  Pending_.erase(Message.Attempt_.Sequence_);
   ReservationResult Result;
   Result.Verdict_ = Row->Tally_.verdict(true);
   Result.Found_ = Row->Tally_.found();
-  Result.Reservation_ = {Asked.Name_, Asked.Attempt_, Asked.MintedAt_,
-                         Asked.LeaseUntil_, Fingerprint};
+  Result.Reservation_ = {Message.Name_, Message.Attempt_, Message.MintedAt_,
+                         Message.LeaseUntil_, Fingerprint};
   if (Result.Verdict_ != Verdict::Granted)
     abandon(Result.Reservation_);
   return Result;
@@ -112,16 +115,16 @@
                        3 * framework::clock::ClockSkewMargin;
   Final.Fingerprint_ = Held.Fingerprint_;
   Final.Answer_ = Answer;
-  toHomes(Held.Name_, peers::Finish{{Held.Name_, Final}});
+  sendToHomes(Held.Name_, peers::Finish{{Held.Name_, Final}});
 }
 
 void ReservationService::abandon(const Reservation &Held) {
-  toHomes(Held.Name_, peers::Abandon{Held.Name_, Held.Attempt_});
+  sendToHomes(Held.Name_, peers::Abandon{Held.Name_, Held.Attempt_});
 }
 
 void ReservationService::handle(const peers::Sender &From,
-                                const ReserveRequest &Asked) {
-  const auto Reply = State_.Homes_.reserve(Asked, State_.now());
+                                const ReserveRequest &Request) {
+  const auto Reply = State_.Homes_.reserve(Request, State_.now());
   if (From.Id_ == State_.Self_.Id_)
     handle(From, Reply);
   else
@@ -129,13 +132,13 @@
 }
 
 void ReservationService::handle(const peers::Sender &,
-                                const idempotency::ReserveReply &Said) {
-  if (Said.Attempt_.Entry_ != State_.Self_.Id_)
+                                const idempotency::ReserveReply &Reply) {
+  if (Reply.Attempt_.Entry_ != State_.Self_.Id_)
     return;
-  const auto Row = Pending_.find(Said.Attempt_.Sequence_);
+  const auto Row = Pending_.find(Reply.Attempt_.Sequence_);
   if (Row == Pending_.end())
     return;
-  Row->second->Tally_.add(Said);
+  Row->second->Tally_.add(Reply);
   if (Row->second->Tally_.verdict(false) != Verdict::Open)
     Row->second->Waiter_->signal();
 }
@@ -146,18 +149,18 @@
 }
 
 void ReservationService::handle(const peers::Sender &,
-                                const peers::Abandon &Freed) {
-  State_.Homes_.abandon(Freed.Name_, Freed.Attempt_);
+                                const peers::Abandon &Message) {
+  State_.Homes_.abandon(Message.Name_, Message.Attempt_);
 }
 
 void ReservationService::handle(const peers::Sender &From,
-                                const idempotency::CopyRequest &Asked) {
-  State_.Send_(From.Id_, State_.Homes_.answerCopy(Asked));
+                                const idempotency::CopyRequest &Request) {
+  State_.Send_(From.Id_, State_.Homes_.answerCopy(Request));
 }
 
 void ReservationService::handle(const peers::Sender &,
-                                const idempotency::CopyReply &Said) {
-  State_.Homes_.takeCopy(Said, State_.now());
+                                const idempotency::CopyReply &Reply) {
+  State_.Homes_.takeCopy(Reply, State_.now());
 }
 
 } // namespace laburnumspread::entry
--- a/src/entry/membershipservice.h
+++ b/src/entry/membershipservice.h
@@ -9,7 +9,7 @@
 namespace laburnumspread::entry {
 
 /// Time between two heartbeats to each peer.
-constexpr framework::clock::Duration HeartbeatEvery =
+constexpr framework::clock::Duration HeartbeatInterval =
     std::chrono::milliseconds(500);
 
 /// Brings this entry into the view and out of it, settles views, and exchanges
@@ -37,11 +37,11 @@
   absl::Status declareStopped(const MemberId &Gone, const std::string &Why);
 
   /// Entries that have a revision in force, and those still awaited.
-  struct InForce {
-    std::vector<std::string> Have_;
+  struct ConfigRollout {
+    std::vector<std::string> Applied_;
     std::vector<std::string> Awaited_;
   };
-  InForce inForce(fleet::Revision Wanted) const;
+  ConfigRollout configRollout(fleet::Revision Wanted) const;
 
   /// Whether every member has the revision in force and reports no use of the
   /// VM's slots under it.
@@ -60,22 +60,22 @@
   void heartbeatLoop();
   void forgetSilentPeers();
   void viewLoop();
-  void advance();
+  void reconcileMembership();
   absl::Status changeView(const Change &Make);
-  absl::Status makeFirstView();
+  absl::Status createInitialView();
   void joinOrReplace();
   void settleIfDue();
   /// What all peers are told; only the echo differs.
-  peers::Heartbeat commonBeat() const;
-  void addUse(peers::Heartbeat &Into);
-  void sendBeat(const MemberId &To, peers::Heartbeat Beat) const;
+  peers::Heartbeat makeHeartbeat() const;
+  void addPoolUsage(peers::Heartbeat &Into);
+  void sendHeartbeat(const MemberId &To, peers::Heartbeat Beat) const;
   std::vector<membership::MemberProgress> progress() const;
 
   EntryState &State_;
   store::EtcdStore &Store_;
   ConfigService &Config_;
-  std::uint64_t Beats_ = 0;
-  bool Left_ = false;
+  std::uint64_t HeartbeatsSent_ = 0;
+  bool HasLeft_ = false;
 };
 
 } // namespace laburnumspread::entry
--- a/src/entry/placementservice.h
+++ b/src/entry/placementservice.h
@@ -34,25 +34,25 @@
 
   /// The request runs now. Repeatable batch work may be stopped for urgent
   /// work by its token, until finish().
-  void running(const WorkRequest &Request, CancelToken &Cancel);
+  void markRunning(const WorkRequest &Request, CancelToken &Cancel);
 
-  void handle(const peers::Sender &From, const peers::Borrow &Wish);
-  void handle(const peers::Sender &From, const peers::Grant &Granted);
-  void handle(const peers::Sender &From, const peers::Return &Returned);
+  void handle(const peers::Sender &From, const peers::BorrowRequest &Wish);
+  void handle(const peers::Sender &From, const peers::LoanGrant &Granted);
+  void handle(const peers::Sender &From, const peers::LoanReturn &Returned);
 
   /// Configuration or view have changed.
   void refresh();
 
-  struct QueueRow {
+  struct QueueLength {
     fleet::PoolName Pool_;
     fleet::TeamName Team_;
     std::uint32_t Waiting_ = 0;
   };
-  std::vector<QueueRow> queues() const;
+  std::vector<QueueLength> queues() const;
   std::size_t waiting() const;
 
 private:
-  struct Waiting {
+  struct WaitingRequest {
     sharing::Ticket Ticket_;
     const WorkRequest *Request_ = nullptr;
     std::vector<routing::EndpointIndex> Avoid_;
@@ -60,14 +60,14 @@
     std::optional<Placement> Placement_;
     std::optional<Problem> Refusal_;
   };
-  using WaitingPtr = std::shared_ptr<Waiting>;
+  using WaitingRequestPtr = std::shared_ptr<WaitingRequest>;
 
   struct PoolState {
     explicit PoolState(std::uint32_t Limit) : Queue_(Limit) {}
     sharing::PoolQueue Queue_;
-    TimePoint WishedAt_{};
+    TimePoint BorrowRequestedAt_{};
     /// Set while requests wait for want of a slot.
-    bool Starved_ = false;
+    bool WaitingForSlot_ = false;
   };
 
   struct Preemptible {
@@ -76,39 +76,40 @@
   };
 
   PoolState &poolState(const fleet::PoolName &Pool);
-  const fleet::Pool *declared(const fleet::PoolName &Pool) const;
-  std::optional<Problem> refusalOnArrival(const WorkRequest &Request);
+  const fleet::Pool *findPool(const fleet::PoolName &Pool) const;
+  std::optional<Problem> checkAdmission(const WorkRequest &Request);
   std::uint32_t weightOf(const fleet::TeamName &Team) const;
 
-  void pump(const fleet::PoolName &Pool);
-  void pumpAll();
-  bool startTicket(const fleet::PoolName &Pool, const sharing::Ticket &Ticket,
-                   std::set<fleet::TeamName> &Blocked);
-  bool grantWish(const fleet::PoolName &Pool, const sharing::PeerWish &Wish);
-  void leaveQueue(const WaitingPtr &Item);
-  void refuseWaiting(const WaitingPtr &Item, Problem Why);
-
-  void wishForPermits();
-  void wishForSlots(const fleet::PoolName &Pool, PoolState &Row);
-  void wishForTeam(const fleet::TeamName &Team, std::uint32_t Count,
-                   TimePoint Until);
+  void dispatchWaiting(const fleet::PoolName &Pool);
+  void dispatchAllPools();
+  bool tryStart(const fleet::PoolName &Pool, const sharing::Ticket &Ticket,
+                std::set<fleet::TeamName> &Blocked);
+  bool grantSlotLoan(const fleet::PoolName &Pool,
+                     const sharing::PeerWish &Wish);
+  void removeFromQueue(const WaitingRequestPtr &Item);
+  void rejectWaiting(const WaitingRequestPtr &Item, Problem Why);
+
+  void requestPermitLoans();
+  void requestSlotLoans(const fleet::PoolName &Pool, PoolState &Row);
+  void requestTeamLoans(const fleet::TeamName &Team, std::uint32_t Count,
+                        TimePoint Until);
   /// Own and borrowed units that nobody uses.
   std::uint32_t freePermits(const fleet::TeamName &Team) const;
   std::uint32_t freeSlots(const fleet::PoolName &Pool) const;
-  void serveTeamWishes(const fleet::TeamName &Team);
+  void serveTeamBorrowRequests(const fleet::TeamName &Team);
   void returnIdleLoans();
   void sendReturns(const std::vector<limits::LoanId> &Loans);
-  void makeRoomForUrgent();
+  void preemptForUrgent();
   void tick();
 
   EntryState &State_;
   std::mt19937_64 Random_;
   std::map<fleet::PoolName, PoolState> Pools_;
-  std::map<sharing::TicketId, WaitingPtr> Tickets_;
-  std::map<fleet::TeamName, std::vector<sharing::PeerWish>> TeamWishes_;
+  std::map<sharing::TicketId, WaitingRequestPtr> Tickets_;
+  std::map<fleet::TeamName, std::vector<sharing::PeerWish>> TeamBorrowRequests_;
   /// Teams whose requests wait for want of a permit, and since when a wish for
   /// one was last sent.
-  std::map<fleet::TeamName, TimePoint> TeamWishedAt_;
+  std::map<fleet::TeamName, TimePoint> TeamBorrowRequestedAt_;
   std::vector<Preemptible> Preemptible_;
   std::uint64_t NextTicket_ = 0;
 };
--- a/src/entry/plannerservice.h
+++ b/src/entry/plannerservice.h
@@ -32,13 +32,13 @@
   void tick();
   bool refreshLease();
   bool acquireLease();
-  void loseLease();
+  void onLeaseLost();
   void applyVm(const maintenance::VmAction &Step);
   void applyWave(const maintenance::WaveUpdate &Step);
   void applyMove(const pools::Move &Step);
-  void removeLostEntries();
+  void removeEntriesOfDeletedVms();
   void probe(const std::string &Vm);
-  void probeReturned();
+  void probeVmsOnProbation();
   template <typename T>
   absl::Status
   write(const std::string &Name,
@@ -54,17 +54,17 @@
   maintenance::HttpVmDirectory Directory_;
   pools::MovePlanner Moves_;
   std::map<std::string, maintenance::ProbeState> Probes_;
-  std::map<std::string, TimePoint> RebootAskedAt_;
+  std::map<std::string, TimePoint> RebootRequestedAt_;
   /// Members whose VM was on the list once, and in how many lists in a row it
   /// has been missing since.
-  std::map<MemberId, int> MissingInLists_;
+  std::map<MemberId, int> MissingListCounts_;
   std::int64_t Lease_ = 0;
   fleet::Revision LeaseRevision_;
-  TimePoint KeptAt_{};
-  TimePoint TriedAt_{};
+  TimePoint LeaseRenewedAt_{};
+  TimePoint LeaseAttemptedAt_{};
   /// Revision of this planner's last write: it decides nothing on an older
   /// state.
-  fleet::Revision Expected_;
+  fleet::Revision LastWriteRevision_;
   framework::clock::Duration LastTick_{0};
 };
 
--- a/src/entry/requestrunner.h
+++ b/src/entry/requestrunner.h
@@ -21,11 +21,11 @@
 
   /// Whether the key that the request came with is still granted; asked again
   /// just before it is sent.
-  using StillGranted = std::function<bool()>;
+  using KeyValidator = std::function<bool()>;
 
   /// Runs the request and answers the caller, always.
   void run(framework::http::Exchange &Call, const WorkRequest &Request,
-           const StillGranted &Granted);
+           const KeyValidator &KeyIsValid);
 
   /// Ends a waiting request, or a running repeatable one, of this entry.
   bool cancel(const idempotency::RecordName &Name);
@@ -37,17 +37,17 @@
               std::string_view Subject);
 
 private:
-  struct Run;
+  struct ActiveRequest;
 
-  bool readPrefix(Run &Work);
-  bool reserve(Run &Work);
-  void answerDuplicate(Run &Work, const ReservationResult &Found);
-  void runOn(Run &Work, const Placement &At);
-  bool mayRetry(Run &Work, const ForwardResult &Result);
-  void deliver(Run &Work, const ForwardResult &Result);
-  void deliverStream(Run &Work, const ForwardResult &Result);
-  void noteAnswer(Run &Work, const ForwardResult &Result);
-  void fail(Run &Work, Problem Why);
+  bool readPrefix(ActiveRequest &Active);
+  bool reserve(ActiveRequest &Active);
+  void answerDuplicate(ActiveRequest &Active, const ReservationResult &Found);
+  void runAttempt(ActiveRequest &Active, const Placement &At);
+  bool mayRetry(ActiveRequest &Active, const ForwardResult &Result);
+  void deliver(ActiveRequest &Active, const ForwardResult &Result);
+  void deliverStream(ActiveRequest &Active, const ForwardResult &Result);
+  void recordAnswer(ActiveRequest &Active, const ForwardResult &Result);
+  void fail(ActiveRequest &Active, Problem Why);
   routing::RetryBudget &budgetOf(const fleet::PoolName &Pool) {
     return Budgets_[Pool];
   }
@@ -57,7 +57,7 @@
   ReservationService &Reservations_;
   Forwarder &Forward_;
   std::map<fleet::PoolName, routing::RetryBudget> Budgets_;
-  std::multimap<idempotency::RecordName, CancelToken *> ByName_;
+  std::multimap<idempotency::RecordName, CancelToken *> CancelTokens_;
   std::size_t InFlight_ = 0;
 };
 
--- a/src/entry/requesttypes.h
+++ b/src/entry/requesttypes.h
@@ -91,21 +91,21 @@
 public:
   void cancel() {
     Cancelled_ = true;
-    fire();
+    notify();
   }
   /// Stops the present run; the request waits for another slot.
   void preempt() {
     Preempted_ = true;
-    fire();
+    notify();
   }
   bool cancelled() const { return Cancelled_; }
   bool preempted() const { return Preempted_; }
   void clearPreemption() { Preempted_ = false; }
   /// Called at most once for each time it is set.
-  void onFire(std::function<void()> Wake) { Wake_ = std::move(Wake); }
+  void setListener(std::function<void()> Wake) { Wake_ = std::move(Wake); }
 
 private:
-  void fire() {
+  void notify() {
     if (auto Wake = std::exchange(Wake_, nullptr))
       Wake();
   }
--- a/src/entry/reservationservice.h
+++ b/src/entry/reservationservice.h
@@ -46,12 +46,14 @@
   void abandon(const Reservation &Held);
 
   void handle(const peers::Sender &From,
-              const idempotency::ReserveRequest &Asked);
-  void handle(const peers::Sender &From, const idempotency::ReserveReply &Said);
+              const idempotency::ReserveRequest &Request);
+  void handle(const peers::Sender &From,
+              const idempotency::ReserveReply &Reply);
   void handle(const peers::Sender &From, const peers::Finish &Final);
-  void handle(const peers::Sender &From, const peers::Abandon &Freed);
-  void handle(const peers::Sender &From, const idempotency::CopyRequest &Asked);
-  void handle(const peers::Sender &From, const idempotency::CopyReply &Said);
+  void handle(const peers::Sender &From, const peers::Abandon &Message);
+  void handle(const peers::Sender &From,
+              const idempotency::CopyRequest &Request);
+  void handle(const peers::Sender &From, const idempotency::CopyReply &Reply);
 
 private:
   struct Pending {
@@ -59,12 +61,12 @@
     framework::fibers::WaiterPtr Waiter_;
   };
 
-  ReservationResult tryOnce(const WorkRequest &Request,
-                            std::uint64_t Fingerprint);
-  Duration pauseBefore(int Try);
+  ReservationResult attemptReservation(const WorkRequest &Request,
+                                       std::uint64_t Fingerprint);
+  Duration retryDelay(int Try);
   void copyLoop();
   template <typename Message>
-  void toHomes(const idempotency::RecordName &Name, const Message &Body);
+  void sendToHomes(const idempotency::RecordName &Name, const Message &Body);
 
   EntryState &State_;
   std::map<std::uint64_t, std::shared_ptr<Pending>> Pending_;
--- a/src/fleet/fleettypes.h
+++ b/src/fleet/fleettypes.h
@@ -40,9 +40,9 @@
   Megabytes Memory_;
   Accelerators Accelerators_;
 
-  bool fitsInto(const Size &Room) const {
-    return Cpus_ <= Room.Cpus_ && Memory_ <= Room.Memory_ &&
-           Accelerators_ <= Room.Accelerators_;
+  bool fitsInto(const Size &Capacity) const {
+    return Cpus_ <= Capacity.Cpus_ && Memory_ <= Capacity.Memory_ &&
+           Accelerators_ <= Capacity.Accelerators_;
   }
 };
 
--- a/src/fleet/internal/resourcejson.cpp
+++ b/src/fleet/internal/resourcejson.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr std::int64_t MaximumSlots = 4096;
-constexpr std::int64_t MaximumLimit = 1'000'000;
-constexpr std::int64_t MaximumVms = 1'000'000;
+constexpr std::int64_t MaxSlots = 4096;
+constexpr std::int64_t MaxLimit = 1'000'000;
+constexpr std::int64_t MaxVms = 1'000'000;
 constexpr std::size_t Sha256HexLength = 64;
 
 /// Names of an enumeration's values, in their order.
@@ -44,7 +44,8 @@
     {"pools", "vms", "teams", "keys", "waves"}};
 constexpr EnumNames<VmPhase, 5> VmPhaseNames{
     {"active", "leaving", "rebooting", "probation", "failed"}};
-constexpr EnumNames<WaveRun, 3> WaveRunNames{{"run", "pause", "cancel"}};
+constexpr EnumNames<WaveCommand, 3> WaveCommandNames{
+    {"run", "pause", "cancel"}};
 constexpr EnumNames<WavePhase, 6> WavePhaseNames{
     {"pending", "running", "halted", "paused", "cancelled", "complete"}};
 constexpr EnumNames<ConditionStatus, 3> ConditionNames{
@@ -63,8 +64,8 @@
 }
 
 /// A budget is written as "3" or "10%".
-std::optional<Amount> parseAmount(std::string_view Text) {
-  Amount Result;
+std::optional<CountOrPercent> parseAmount(std::string_view Text) {
+  CountOrPercent Result;
   const auto Parsed =
       std::from_chars(Text.data(), Text.data() + Text.size(), Result.Value_);
   std::string_view Rest(Parsed.ptr, Text.data() + Text.size() - Parsed.ptr);
@@ -75,15 +76,16 @@
   return Result;
 }
 
-std::string toText(const Amount &Value) {
+std::string toText(const CountOrPercent &Value) {
   return std::to_string(Value.Value_) + (Value.Percent_ ? "%" : "");
 }
 
-std::optional<Amount> readAmount(JsonReader &Reader, std::string_view Field) {
+std::optional<CountOrPercent> readAmount(JsonReader &Reader,
+                                         std::string_view Field) {
   if (!Reader.has(Field))
     return std::nullopt;
   const std::string Text = Reader.optionalString(Field, "");
-  std::optional<Amount> Value = parseAmount(Text);
+  std::optional<CountOrPercent> Value = parseAmount(Text);
   if (!Value)
     Reader.fault(Field, "must be a count or a percentage up to 100%, as \"3\" "
                         "or \"10%\"");
@@ -143,11 +145,13 @@
 } // namespace
 
 std::string_view nameOf(Kind Value) { return KindNames.nameOf(Value); }
-std::optional<Kind> kindNamed(std::string_view Name) {
+std::optional<Kind> parseKind(std::string_view Name) {
   return KindNames.find(Name);
 }
 std::string_view nameOf(VmPhase Phase) { return VmPhaseNames.nameOf(Phase); }
-std::string_view nameOf(WaveRun Run) { return WaveRunNames.nameOf(Run); }
+std::string_view nameOf(WaveCommand Command) {
+  return WaveCommandNames.nameOf(Command);
+}
 std::string_view nameOf(WavePhase Phase) {
   return WavePhaseNames.nameOf(Phase);
 }
@@ -155,11 +159,11 @@
 std::string_view nameOf(Outcome Value) { return OutcomeNames.nameOf(Value); }
 
 bool validName(std::string_view Name) {
-  constexpr std::size_t LongestName = 63;
+  constexpr std::size_t MaxNameLength = 63;
   auto IsAlphanumeric = [](char C) {
     return (C >= 'a' && C <= 'z') || (C >= '0' && C <= '9');
   };
-  return !Name.empty() && Name.size() <= LongestName &&
+  return !Name.empty() && Name.size() <= MaxNameLength &&
          IsAlphanumeric(Name[0]) &&
          std::all_of(Name.begin(), Name.end(), [&](char C) {
            return IsAlphanumeric(C) || C == '-' || C == '.';
@@ -174,9 +178,9 @@
   Spec.Budget_.Zone_ = readAmount(Budget, "maxUnavailablePerZone");
   Spec.Budget_.Rack_ = readAmount(Budget, "maxUnavailablePerRack");
   Budget.finish();
-  Spec.MinimumVms_ = readCount(Reader, "minimumVms", 0, 0, MaximumVms);
+  Spec.MinimumVms_ = readCount(Reader, "minimumVms", 0, 0, MaxVms);
   Spec.QueueLimit_ =
-      readCount(Reader, "queueLimit", Spec.QueueLimit_, 0, MaximumLimit);
+      readCount(Reader, "queueLimit", Spec.QueueLimit_, 0, MaxLimit);
   Spec.EjectionCapPercent_ =
       readCount(Reader, "ejectionCapPercent", Spec.EjectionCapPercent_, 0, 100);
   Spec.Spare_ = Reader.optionalBool("spare", false);
@@ -189,7 +193,7 @@
   Spec.Zone_ = ZoneName(readReference(Reader, "zone"));
   Spec.Rack_ = RackName(readReference(Reader, "rack"));
   Spec.Address_ = Reader.requiredString("address");
-  Spec.Slots_ = Slots(readCount(Reader, "slots", 8, 1, MaximumSlots));
+  Spec.Slots_ = Slots(readCount(Reader, "slots", 8, 1, MaxSlots));
   Spec.Size_.Cpus_ =
       MilliCpus(1000 * readCount(Reader, "cpus", 16, 1, 1 << 20));
   Spec.Size_.Memory_ =
@@ -202,9 +206,9 @@
 
 TeamSpec readSpec(JsonReader &Reader, const Team *) {
   TeamSpec Spec;
-  Spec.Share_ = readCount(Reader, "share", 1, 1, MaximumLimit);
-  Spec.Limit_ = static_cast<std::uint32_t>(
-      Reader.requiredInt("limit", {0, MaximumLimit}));
+  Spec.Share_ = readCount(Reader, "share", 1, 1, MaxLimit);
+  Spec.Limit_ =
+      static_cast<std::uint32_t>(Reader.requiredInt("limit", {0, MaxLimit}));
   return Spec;
 }
 
@@ -222,14 +226,13 @@
 WaveSpec readSpec(JsonReader &Reader, const Wave *) {
   WaveSpec Spec;
   Spec.Pools_ = readNames<PoolName>(Reader, "pools");
-  Spec.FirstBatch_ = readCount(Reader, "firstBatch", 1, 1, MaximumVms);
+  Spec.FirstBatch_ = readCount(Reader, "firstBatch", 1, 1, MaxVms);
   Spec.MaximumBatch_ =
-      readCount(Reader, "maximumBatch", Spec.MaximumBatch_, 1, MaximumVms);
+      readCount(Reader, "maximumBatch", Spec.MaximumBatch_, 1, MaxVms);
   Spec.HaltAfterFailures_ = readCount(Reader, "haltAfterFailures",
-                                      Spec.HaltAfterFailures_, 1, MaximumVms);
-  Spec.AcceptedFailures_ =
-      readCount(Reader, "acceptedFailures", 0, 0, MaximumVms);
-  Spec.Run_ = readEnum(Reader, "run", WaveRunNames, WaveRun::Run);
+                                      Spec.HaltAfterFailures_, 1, MaxVms);
+  Spec.AcceptedFailures_ = readCount(Reader, "acceptedFailures", 0, 0, MaxVms);
+  Spec.Command_ = readEnum(Reader, "run", WaveCommandNames, WaveCommand::Run);
   if (Spec.FirstBatch_ > Spec.MaximumBatch_)
     Reader.fault("firstBatch", "must not be above maximumBatch");
   return Spec;
@@ -242,7 +245,7 @@
   Status.Phase_ = readEnum(Reader, "phase", VmPhaseNames, VmPhase::Active);
   Status.Since_ = readTime(Reader, "sinceMicros");
   Status.Wave_ = WaveName(Reader.optionalString("wave", ""));
-  Status.BootBefore_ = Reader.optionalString("bootBefore", "");
+  Status.BootIdBeforeReboot_ = Reader.optionalString("bootBefore", "");
   Status.DoneWaves_ = readNames<WaveName>(Reader, "doneWaves");
   Status.LentTo_ = PoolName(Reader.optionalString("lentTo", ""));
   Status.LentSince_ = readTime(Reader, "lentSinceMicros");
@@ -252,11 +255,11 @@
 WaveStatus readStatus(JsonReader &Reader, const WaveStatus *) {
   WaveStatus Status;
   Status.Phase_ = readEnum(Reader, "phase", WavePhaseNames, WavePhase::Pending);
-  Status.Total_ = readCount(Reader, "total", 0, 0, MaximumVms);
-  Status.Batch_ = readCount(Reader, "batch", 0, 0, MaximumVms);
-  Status.Done_ = readCount(Reader, "done", 0, 0, MaximumVms);
-  Status.Failed_ = readCount(Reader, "failed", 0, 0, MaximumVms);
-  Status.InProgress_ = readCount(Reader, "inProgress", 0, 0, MaximumVms);
+  Status.Total_ = readCount(Reader, "total", 0, 0, MaxVms);
+  Status.Batch_ = readCount(Reader, "batch", 0, 0, MaxVms);
+  Status.Done_ = readCount(Reader, "done", 0, 0, MaxVms);
+  Status.Failed_ = readCount(Reader, "failed", 0, 0, MaxVms);
+  Status.InProgress_ = readCount(Reader, "inProgress", 0, 0, MaxVms);
   Status.Conditions_ = readConditions(Reader);
   Status.StartedAt_ = readTime(Reader, "startedMicros");
   Status.EndedAt_ = readTime(Reader, "endedMicros");
@@ -303,7 +306,7 @@
           {"maximumBatch", Spec.MaximumBatch_},
           {"haltAfterFailures", Spec.HaltAfterFailures_},
           {"acceptedFailures", Spec.AcceptedFailures_},
-          {"run", nameOf(Spec.Run_)}};
+          {"run", nameOf(Spec.Command_)}};
 }
 
 json::object toJson(const NoStatus &) { return {}; }
@@ -314,8 +317,8 @@
   Result["sinceMicros"] = framework::clock::toMicros(Status.Since_);
   if (!Status.Wave_.empty())
     Result["wave"] = Status.Wave_.str();
-  if (!Status.BootBefore_.empty())
-    Result["bootBefore"] = Status.BootBefore_;
+  if (!Status.BootIdBeforeReboot_.empty())
+    Result["bootBefore"] = Status.BootIdBeforeReboot_;
   if (!Status.DoneWaves_.empty())
     Result["doneWaves"] = toArray(Status.DoneWaves_);
   if (!Status.LentTo_.empty()) {
--- a/src/fleet/resources.h
+++ b/src/fleet/resources.h
@@ -31,22 +31,22 @@
 };
 
 /// Number of VMs, absolute or in percent of a total.
-struct Amount {
+struct CountOrPercent {
   std::uint32_t Value_ = 0;
   bool Percent_ = false;
 
   /// VMs out of \p Total, rounded down.
-  std::uint32_t of(std::uint32_t Total) const {
+  std::uint32_t resolve(std::uint32_t Total) const {
     return Percent_ ? Total * Value_ / 100 : Value_;
   }
-  bool operator==(const Amount &) const = default;
+  bool operator==(const CountOrPercent &) const = default;
 };
 
 /// How many VMs may be unavailable at once, whatever the reason.
 struct AvailabilityBudget {
-  Amount Pool_{10, true};
-  std::optional<Amount> Zone_;
-  std::optional<Amount> Rack_;
+  CountOrPercent Pool_{10, true};
+  std::optional<CountOrPercent> Zone_;
+  std::optional<CountOrPercent> Rack_;
 };
 
 struct PoolSpec {
@@ -81,7 +81,7 @@
   WaveName Wave_;
   /// Boot id seen before the reboot was asked for. The reboot is done when the
   /// platform shows another one, so that it is never repeated.
-  std::string BootBefore_;
+  std::string BootIdBeforeReboot_;
   /// Waves under way that have maintained the VM already.
   std::vector<WaveName> DoneWaves_;
   /// Pool that the VM works for at present, if not for its declared one.
@@ -103,8 +103,8 @@
   std::string Sha256_;
 };
 
-enum class WaveRun { Run, Pause, Cancel };
-std::string_view nameOf(WaveRun Run);
+enum class WaveCommand { Run, Pause, Cancel };
+std::string_view nameOf(WaveCommand Command);
 
 struct WaveSpec {
   /// Pools to maintain; all when empty.
@@ -113,7 +113,7 @@
   std::uint32_t MaximumBatch_ = 1000;
   /// Failed VMs at which the wave halts by itself.
   std::uint32_t HaltAfterFailures_ = 2;
-  WaveRun Run_ = WaveRun::Run;
+  WaveCommand Command_ = WaveCommand::Run;
   /// Raised by an operator to roll on after a halt: failures up to this count
   /// are accepted.
   std::uint32_t AcceptedFailures_ = 0;
@@ -156,7 +156,7 @@
 using Wave = Resource<WaveSpec, WaveStatus>;
 
 /// The one pool that a VM works for.
-inline const PoolName &poolOf(const Vm &Machine) {
+inline const PoolName &currentPool(const Vm &Machine) {
   return Machine.Status_.LentTo_.empty() ? Machine.Spec_.Pool_
                                          : Machine.Status_.LentTo_;
 }
@@ -167,7 +167,7 @@
 
 /// Plural, as in the resource interface.
 std::string_view nameOf(Kind Value);
-std::optional<Kind> kindNamed(std::string_view Name);
+std::optional<Kind> parseKind(std::string_view Name);
 
 template <typename T> struct KindOf;
 template <> struct KindOf<Pool> { static constexpr Kind Value = Kind::Pools; };
--- a/src/fleet/tests/resourcejsontest.cpp
+++ b/src/fleet/tests/resourcejsontest.cpp
@@ -26,7 +26,7 @@
                                 Errors);
   BOOST_TEST(describe(Errors) == "");
   Machine.Status_.Phase_ = VmPhase::Rebooting;
-  Machine.Status_.BootBefore_ = "b-7";
+  Machine.Status_.BootIdBeforeReboot_ = "b-7";
   const Vm Again = readStored<Vm>("vm-1", toStored(Machine), Errors);
   BOOST_TEST(describe(Errors) == "");
   BOOST_TEST(Again.Spec_.Slots_ == Slots(4));
@@ -49,7 +49,7 @@
   BOOST_TEST(faultsOf<Pool>(R"({"metadata": {"name": "p"},
       "spec": {"budget": {"maxUnavailable": "25%"}}})")
                  .empty());
-  BOOST_TEST((Amount{25, true}.of(10)) == 2u);
+  BOOST_TEST((CountOrPercent{25, true}.resolve(10)) == 2u);
 }
 
 BOOST_AUTO_TEST_CASE(KeyTakesAHashNeverASecret) {
--- a/src/maintenance/internal/availability.cpp
+++ b/src/maintenance/internal/availability.cpp
@@ -9,13 +9,13 @@
 }
 
 Availability::Place Availability::poolPlace(const fleet::Vm &Vm) {
-  return {fleet::poolOf(Vm).str(), "", ""};
+  return {fleet::currentPool(Vm).str(), "", ""};
 }
 Availability::Place Availability::zonePlace(const fleet::Vm &Vm) {
-  return {fleet::poolOf(Vm).str(), Vm.Spec_.Zone_.str(), "zone"};
+  return {fleet::currentPool(Vm).str(), Vm.Spec_.Zone_.str(), "zone"};
 }
 Availability::Place Availability::rackPlace(const fleet::Vm &Vm) {
-  return {fleet::poolOf(Vm).str(), Vm.Spec_.Rack_.str(), "rack"};
+  return {fleet::currentPool(Vm).str(), Vm.Spec_.Rack_.str(), "rack"};
 }
 
 Availability::Availability(const config::FleetTables &Tables,
@@ -38,15 +38,16 @@
 }
 
 std::string Availability::reason(const fleet::Vm &Vm) const {
-  const auto *Pool = Tables_.find<fleet::Pool>(fleet::poolOf(Vm).str());
+  const auto *Pool = Tables_.find<fleet::Pool>(fleet::currentPool(Vm).str());
   if (!Pool)
-    return "pool " + fleet::poolOf(Vm).str() + " is not declared";
+    return "pool " + fleet::currentPool(Vm).str() + " is not declared";
   const fleet::AvailabilityBudget &Budget = Pool->Spec_.Budget_;
-  auto Exceeded = [&](const Place &Where, const fleet::Amount &Allowed) {
+  auto Exceeded = [&](const Place &Where,
+                      const fleet::CountOrPercent &Allowed) {
     const Count &Row = at(Where);
-    return Row.Down_ + 1 > Allowed.of(Row.Total_);
+    return Row.Down_ + 1 > Allowed.resolve(Row.Total_);
   };
-  auto TextOf = [&](const Place &Where, const fleet::Amount &Allowed) {
+  auto TextOf = [&](const Place &Where, const fleet::CountOrPercent &Allowed) {
     const Count &Row = at(Where);
     std::string Text = "pool " + std::string(Where.Pool_);
     if (!Where.Kind_.empty())
@@ -55,7 +56,7 @@
     return Text + ": " + std::to_string(Row.Down_) + " of " +
            std::to_string(Row.Total_) +
            " VMs are unavailable, the budget allows " +
-           std::to_string(Allowed.of(Row.Total_));
+           std::to_string(Allowed.resolve(Row.Total_));
   };
   if (Exceeded(poolPlace(Vm), Budget.Pool_))
     return TextOf(poolPlace(Vm), Budget.Pool_);
--- a/src/maintenance/internal/waveplanner.cpp
+++ b/src/maintenance/internal/waveplanner.cpp
@@ -131,12 +131,12 @@
     if (Row == Seen.List_.end() || !Seen.Drained_(Name))
       return;
     VmStatus Next = inPhase(Machine, VmPhase::Rebooting, Seen.Now_);
-    Next.BootBefore_ = Row->second.BootId_;
+    Next.BootIdBeforeReboot_ = Row->second.BootId_;
     return Add(ActionKind::BeginReboot, Next, "drained");
   }
   case VmPhase::Rebooting: {
     if (Row != Seen.List_.end() && Row->second.Live_ &&
-        Row->second.BootId_ != Status.BootBefore_)
+        Row->second.BootId_ != Status.BootIdBeforeReboot_)
       return Add(ActionKind::BeginProbation,
                  inPhase(Machine, VmPhase::Probation, Seen.Now_), "booted");
     if (Seen.Now_ - Status.Since_ > RebootTime)
@@ -145,7 +145,8 @@
     // The list lags: as long as it shows the old boot the reboot may or may
     // not be under way. Asking again is harmless, since the platform reboots
     // only the boot that is named.
-    if (Row != Seen.List_.end() && Row->second.BootId_ == Status.BootBefore_)
+    if (Row != Seen.List_.end() &&
+        Row->second.BootId_ == Status.BootIdBeforeReboot_)
       return Add(ActionKind::Reboot, Status, "reboot is due");
     return;
   }
@@ -153,7 +154,7 @@
     VmStatus Next = inPhase(Machine, VmPhase::Active, Seen.Now_);
     noteDone(Tables, Status.Wave_, Next);
     Next.Wave_ = {};
-    Next.BootBefore_.clear();
+    Next.BootIdBeforeReboot_.clear();
     if (Seen.Probes_(Name).GoodInRow_ >= ProbesToPass)
       return Add(ActionKind::Activate, Next, "passed its probation");
     if (Seen.Now_ - Status.Since_ > ProbationTime)
@@ -206,14 +207,14 @@
     const BatchRoom Room = batchRoom(Of, Progress);
     Status.Batch_ = Room.Size_;
     Blocked_.clear();
-    if (Of.Spec_.Run_ == fleet::WaveRun::Cancel)
+    if (Of.Spec_.Command_ == fleet::WaveCommand::Cancel)
       Status.Phase_ =
           Progress.InProgress_ == 0 ? WavePhase::Cancelled : WavePhase::Running;
     else if (Progress.Done_ + Progress.Failed_ == Progress.Total_)
       Status.Phase_ = WavePhase::Complete;
     else if (mustHalt(Of, Progress))
       Status.Phase_ = WavePhase::Halted;
-    else if (Of.Spec_.Run_ == fleet::WaveRun::Pause)
+    else if (Of.Spec_.Command_ == fleet::WaveCommand::Pause)
       Status.Phase_ = WavePhase::Paused;
     else
       start(Of, Progress, Room, Status);
@@ -293,7 +294,7 @@
 bool isCancelled(const config::FleetTables &Tables,
                  const fleet::WaveName &Name) {
   const auto *Of = Tables.find<Wave>(Name.str());
-  return !Of || Of->Spec_.Run_ == fleet::WaveRun::Cancel;
+  return !Of || Of->Spec_.Command_ == fleet::WaveCommand::Cancel;
 }
 
 } // namespace
--- a/src/maintenance/tests/waveplannertest.cpp
+++ b/src/maintenance/tests/waveplannertest.cpp
@@ -67,7 +67,7 @@
       BOOST_REQUIRE((Vm.Status_.Phase_ == Step.From_));
       Vm.Status_ = Step.To_;
       if (Step.Kind_ == ActionKind::Reboot &&
-          List_.at(Step.Vm_).BootId_ == Vm.Status_.BootBefore_) {
+          List_.at(Step.Vm_).BootId_ == Vm.Status_.BootIdBeforeReboot_) {
         const int Boots = 1 + ++Reboots_[Step.Vm_];
         List_.at(Step.Vm_).BootId_ = "boot-" + std::to_string(Boots);
       }
@@ -163,7 +163,8 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(ZoneAndRackBudgetsBindToo, Fixture) {
-  Tables_.Pools_["orders"].Spec_.Budget_.Rack_ = fleet::Amount{1, false};
+  Tables_.Pools_["orders"].Spec_.Budget_.Rack_ =
+      fleet::CountOrPercent{1, false};
   addWave().Spec_.FirstBatch_ = 8;
   apply(plan());
   std::map<std::string, int> InRack;
@@ -217,7 +218,7 @@
   BOOST_TEST((Second.Vms_.at(0).Kind_ == ActionKind::Reboot));
   apply(First);
   for (const VmAction &Step : Second.Vms_)
-    if (List_[Step.Vm_].BootId_ == Step.To_.BootBefore_)
+    if (List_[Step.Vm_].BootId_ == Step.To_.BootIdBeforeReboot_)
       BOOST_ERROR("would reboot twice");
   BOOST_TEST(Reboots_["vm-10"] == 1);
 }
@@ -256,7 +257,7 @@
   for (const auto &[Name, Vm] : Tables_.Vms_)
     Undrained_.insert(Name);
   apply(plan());
-  Wave.Spec_.Run_ = fleet::WaveRun::Cancel;
+  Wave.Spec_.Command_ = fleet::WaveCommand::Cancel;
   run(5);
   BOOST_TEST((status().Phase_ == WavePhase::Cancelled));
   BOOST_TEST(Reboots_.empty());
--- a/src/peers/internal/messagecodec.cpp
+++ b/src/peers/internal/messagecodec.cpp
@@ -81,7 +81,7 @@
   To.set_view(From.View_.value());
   To.set_settled_through(From.SettledThrough_.value());
   To.set_config_revision(From.ConfigRevision_.value());
-  To.set_echo_micros(toMicros(From.Echo_));
+  To.set_echo_micros(toMicros(From.EchoedSentAt_));
   To.set_buckets_to_copy(From.BucketsToCopy_);
   To.set_store_in_touch(From.StoreInTouch_);
   To.set_ready(From.Ready_);
@@ -90,14 +90,14 @@
     Row.set_subject(Item.Subject_.str());
     Row.set_unit(Item.Unit_.value());
   }
-  for (const PoolUse &Item : From.Use_) {
+  for (const PoolUsage &Item : From.PoolUsage_) {
     wire::PoolUse &Row = *To.add_use();
     Row.set_pool(Item.Pool_.str());
     Row.set_team(Item.Team_.str());
     Row.set_running(Item.Running_);
     Row.set_waiting(Item.Waiting_);
   }
-  for (const VmUse &Item : From.Leaving_) {
+  for (const VmUsage &Item : From.LeavingVms_) {
     wire::VmUse &Row = *To.add_leaving();
     Row.set_vm(Item.Vm_.str());
     Row.set_busy(Item.Busy_);
@@ -109,7 +109,7 @@
   To.View_ = membership::ViewNumber(From.view());
   To.SettledThrough_ = membership::ViewNumber(From.settled_through());
   To.ConfigRevision_ = fleet::Revision(From.config_revision());
-  To.Echo_ = fromMicros(From.echo_micros());
+  To.EchoedSentAt_ = fromMicros(From.echo_micros());
   To.BucketsToCopy_ = From.buckets_to_copy();
   To.StoreInTouch_ = From.store_in_touch();
   To.Ready_ = From.ready();
@@ -117,14 +117,15 @@
     To.StillHeld_.push_back(
         {limits::SubjectName(Row.subject()), limits::Unit(Row.unit())});
   for (const wire::PoolUse &Row : From.use())
-    To.Use_.push_back({fleet::PoolName(Row.pool()), fleet::TeamName(Row.team()),
-                       Row.running(), Row.waiting()});
+    To.PoolUsage_.push_back({fleet::PoolName(Row.pool()),
+                             fleet::TeamName(Row.team()), Row.running(),
+                             Row.waiting()});
   for (const wire::VmUse &Row : From.leaving())
-    To.Leaving_.push_back({fleet::VmName(Row.vm()), Row.busy()});
+    To.LeavingVms_.push_back({fleet::VmName(Row.vm()), Row.busy()});
   return To;
 }
 
-void write(const Borrow &From, wire::Envelope &Out) {
+void write(const BorrowRequest &From, wire::Envelope &Out) {
   wire::Borrow &To = *Out.mutable_borrow();
   To.set_pool(From.Pool_.str());
   To.set_team(From.Team_.str());
@@ -133,14 +134,14 @@
   To.set_until_micros(toMicros(From.Until_));
 }
 
-Borrow read(const wire::Borrow &From) {
+BorrowRequest read(const wire::Borrow &From) {
   return {fleet::PoolName(From.pool()), fleet::TeamName(From.team()),
           readEnum(From.request_class(), fleet::RequestClass::Batch,
                    fleet::RequestClass::Batch),
           From.count(), fromMicros(From.until_micros())};
 }
 
-void write(const Grant &From, wire::Envelope &Out) {
+void write(const LoanGrant &From, wire::Envelope &Out) {
   wire::Grant &To = *Out.mutable_grant();
   To.set_pool(From.Pool_.str());
   To.set_team(From.Team_.str());
@@ -153,8 +154,8 @@
   }
 }
 
-Grant read(const wire::Grant &From) {
-  Grant To;
+LoanGrant read(const wire::Grant &From) {
+  LoanGrant To;
   To.Pool_ = fleet::PoolName(From.pool());
   To.Team_ = fleet::TeamName(From.team());
   for (const wire::Loan &Row : From.loans())
@@ -164,14 +165,14 @@
   return To;
 }
 
-void write(const Return &From, wire::Envelope &Out) {
+void write(const LoanReturn &From, wire::Envelope &Out) {
   wire::Return &To = *Out.mutable_returned();
   for (const LoanId &Item : From.Loans_)
     write(Item, *To.add_loans());
 }
 
-Return read(const wire::Return &From) {
-  Return To;
+LoanReturn read(const wire::Return &From) {
+  LoanReturn To;
   for (const wire::LoanId &Row : From.loans())
     To.Loans_.push_back(read(Row));
   return To;
@@ -286,11 +287,11 @@
   return To;
 }
 
-void write(const Cancel &From, wire::Envelope &Out) {
+void write(const CancelRequest &From, wire::Envelope &Out) {
   Out.mutable_cancel()->set_name(From.Name_.str());
 }
 
-void write(const HeadOffer &From, wire::Envelope &Out) {
+void write(const LeadershipOffer &From, wire::Envelope &Out) {
   Out.mutable_head_offer()->set_token(From.Token_);
 }
 
@@ -329,7 +330,7 @@
 void write(const JobReply &From, wire::Envelope &Out) {
   wire::JobReply &To = *Out.mutable_job_reply();
   To.set_sequence(From.Sequence_);
-  To.set_verdict(static_cast<std::uint32_t>(From.Verdict_));
+  To.set_verdict(static_cast<std::uint32_t>(From.Status_));
   To.set_state(From.State_);
   To.set_waiting(From.Waiting_);
   To.set_retry_after_ms(From.RetryAfterMs_);
@@ -338,7 +339,8 @@
 
 JobReply read(const wire::JobReply &From) {
   return {From.sequence(),
-          readEnum(From.verdict(), JobVerdict::UnknownKey, JobVerdict::Unknown),
+          readEnum(From.verdict(), JobCallStatus::UnknownKey,
+                   JobCallStatus::Unknown),
           From.state(),
           From.waiting(),
           From.retry_after_ms(),
@@ -377,13 +379,13 @@
   case wire::Envelope::kSnapshot:
     return read(In.snapshot());
   case wire::Envelope::kCancel:
-    return Cancel{idempotency::RecordName(In.cancel().name())};
+    return CancelRequest{idempotency::RecordName(In.cancel().name())};
   case wire::Envelope::kJobCall:
     return read(In.job_call());
   case wire::Envelope::kJobReply:
     return read(In.job_reply());
   case wire::Envelope::kHeadOffer:
-    return HeadOffer{In.head_offer().token()};
+    return LeadershipOffer{In.head_offer().token()};
   case wire::Envelope::BODY_NOT_SET:
     break;
   }
@@ -392,7 +394,7 @@
 
 } // namespace
 
-std::string encode(const Letter &Outgoing) {
+std::string encode(const Envelope &Outgoing) {
   wire::Envelope Out;
   Out.set_version(WireVersion);
   write(Outgoing.From_.Id_, *Out.mutable_sender());
@@ -403,14 +405,14 @@
   return Out.SerializeAsString();
 }
 
-absl::StatusOr<Letter> decode(std::string_view Bytes) {
+absl::StatusOr<Envelope> decode(std::string_view Bytes) {
   wire::Envelope In;
   if (!In.ParseFromArray(Bytes.data(), static_cast<int>(Bytes.size())))
     return absl::InvalidArgumentError("not a peer message");
   if (In.version() != WireVersion)
     return absl::InvalidArgumentError("message version " +
                                       std::to_string(In.version()));
-  Letter Result;
+  Envelope Result;
   Result.From_ = {read(In.sender()), In.sender_address(),
                   fromMicros(In.sent_micros())};
   Result.To_ = read(In.recipient());
--- a/src/peers/internal/peermesh.cpp
+++ b/src/peers/internal/peermesh.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr std::size_t KeyLength = 40;
-constexpr int QueueLength = 10'000;
-constexpr std::int64_t LargestLetterBytes = 64 * 1024 * 1024;
+constexpr int MaxQueuedMessages = 10'000;
+constexpr std::int64_t MaxEnvelopeBytes = 64 * 1024 * 1024;
 constexpr int HeartbeatMs = 1000;
 /// A path that has forgotten the connection is found after this silence, and
 /// the socket connects anew.
@@ -33,9 +33,9 @@
 
 void setCommonOptions(zmq::socket_t &Socket) {
   Socket.set(zmq::sockopt::linger, 0);
-  Socket.set(zmq::sockopt::sndhwm, QueueLength);
-  Socket.set(zmq::sockopt::rcvhwm, QueueLength);
-  Socket.set(zmq::sockopt::maxmsgsize, LargestLetterBytes);
+  Socket.set(zmq::sockopt::sndhwm, MaxQueuedMessages);
+  Socket.set(zmq::sockopt::rcvhwm, MaxQueuedMessages);
+  Socket.set(zmq::sockopt::maxmsgsize, MaxEnvelopeBytes);
   Socket.set(zmq::sockopt::heartbeat_ivl, HeartbeatMs);
   Socket.set(zmq::sockopt::heartbeat_timeout, HeartbeatTimeoutMs);
 }
@@ -121,7 +121,7 @@
   void receive(std::string_view Bytes) {
     Counters_.BytesIn_ += Bytes.size();
     ++Counters_.MessagesIn_;
-    absl::StatusOr<Letter> Arrived = decode(Bytes);
+    absl::StatusOr<Envelope> Arrived = decode(Bytes);
     // A letter for an earlier run of this entry speaks of state that is gone.
     const bool Mine =
         Arrived.ok() && Arrived->To_.Name_ == Self_.Name_ &&
@@ -134,7 +134,7 @@
     Handle_(Arrived->From_, std::move(Arrived->Message_));
   }
 
-  zmq::socket_t *outboxTo(const std::string &Address) {
+  zmq::socket_t *outboxFor(const std::string &Address) {
     const auto Known = Outboxes_.find(Address);
     if (Known != Outboxes_.end())
       return &Known->second;
@@ -159,7 +159,7 @@
 
   void send(const MemberId &To, const std::string &Address,
             const Message &Body) {
-    zmq::socket_t *Outbox = outboxTo(Address);
+    zmq::socket_t *Outbox = outboxFor(Address);
     if (!Outbox)
       return;
     const std::string Bytes = encode(
@@ -229,7 +229,7 @@
   State_->send(To, Address, Body);
 }
 
-void PeerMesh::keepOnly(const std::vector<std::string> &Wanted) {
+void PeerMesh::closeConnectionsExcept(const std::vector<std::string> &Wanted) {
   std::erase_if(State_->Outboxes_, [&](const auto &Item) {
     return std::find(Wanted.begin(), Wanted.end(), Item.first) == Wanted.end();
   });
--- a/src/peers/messagecodec.h
+++ b/src/peers/messagecodec.h
@@ -13,15 +13,15 @@
 /// be added within a version, meanings cannot change.
 constexpr std::uint32_t WireVersion = 1;
 
-struct Letter {
+struct Envelope {
   Sender From_;
   MemberId To_;
   Message Message_;
 };
 
-std::string encode(const Letter &Outgoing);
+std::string encode(const Envelope &Outgoing);
 
 /// InvalidArgument when the bytes are no letter of this version.
-absl::StatusOr<Letter> decode(std::string_view Bytes);
+absl::StatusOr<Envelope> decode(std::string_view Bytes);
 
 } // namespace laburnumspread::peers
--- a/src/peers/messages.h
+++ b/src/peers/messages.h
@@ -15,7 +15,7 @@
 using membership::MemberId;
 
 /// Work of one team in one pool at one entry.
-struct PoolUse {
+struct PoolUsage {
   fleet::PoolName Pool_;
   fleet::TeamName Team_;
   std::uint32_t Running_ = 0;
@@ -23,7 +23,7 @@
 };
 
 /// Slots of a leaving VM that the sender uses or has lent.
-struct VmUse {
+struct VmUsage {
   fleet::VmName Vm_;
   std::uint32_t Busy_ = 0;
 };
@@ -36,22 +36,22 @@
   /// Configuration in force at the sender.
   fleet::Revision ConfigRevision_;
   /// Sending time of the last heartbeat from the recipient.
-  TimePoint Echo_{};
+  TimePoint EchoedSentAt_{};
   std::vector<limits::HeldUnit> StillHeld_;
   std::uint64_t BucketsToCopy_ = 0;
   /// Rows that have changed, as many as the bound on control traffic allows; a
   /// row of zeros takes one back.
-  std::vector<PoolUse> Use_;
+  std::vector<PoolUsage> PoolUsage_;
   /// Busy slots of VMs that are leaving under ConfigRevision_. A leaving VM
   /// that is not listed has none at the sender.
-  std::vector<VmUse> Leaving_;
+  std::vector<VmUsage> LeavingVms_;
   bool StoreInTouch_ = false;
   bool Ready_ = false;
 };
 
 /// Asks for loans: of team permits if Pool_ is empty, else of slots in the
 /// pool, for a request of the team.
-struct Borrow {
+struct BorrowRequest {
   fleet::PoolName Pool_;
   fleet::TeamName Team_;
   fleet::RequestClass Class_ = fleet::RequestClass::Normal;
@@ -59,13 +59,13 @@
   TimePoint Until_{};
 };
 
-struct Grant {
+struct LoanGrant {
   std::vector<limits::Loan> Loans_;
   fleet::PoolName Pool_;
   fleet::TeamName Team_;
 };
 
-struct Return {
+struct LoanReturn {
   std::vector<limits::LoanId> Loans_;
 };
 
@@ -89,7 +89,7 @@
 };
 
 /// The caller of a request wants it ended, wherever it waits.
-struct Cancel {
+struct CancelRequest {
   idempotency::RecordName Name_;
 };
 
@@ -117,7 +117,7 @@
   std::optional<CallOrigin> Origin_;
 };
 
-enum class JobVerdict {
+enum class JobCallStatus {
   /// Stored, or the state or count is in the reply.
   Ok,
   /// Not taken, and never will be by this attempt.
@@ -127,7 +127,7 @@
   /// Whether it was stored is not known.
   Unknown,
   /// The recipient is not the holder; nothing was done.
-  NotHolder,
+  NotLeader,
   /// The holder's configuration is newer than the entry's and has no queue for
   /// the call; nothing was done.
   NoSuchQueue,
@@ -138,7 +138,7 @@
 
 struct JobReply {
   std::uint64_t Sequence_ = 0;
-  JobVerdict Verdict_ = JobVerdict::Unknown;
+  JobCallStatus Status_ = JobCallStatus::Unknown;
   /// Name of the job's state.
   std::string State_;
   std::uint64_t Waiting_ = 0;
@@ -149,16 +149,16 @@
 
 /// The holder of the cell cannot reach the store. Whoever can may take the
 /// leadership with this token over at once.
-struct HeadOffer {
+struct LeadershipOffer {
   std::uint64_t Token_ = 0;
 };
 
 using Message =
-    std::variant<Heartbeat, Borrow, Grant, Return, idempotency::ReserveRequest,
-                 idempotency::ReserveReply, Finish, Abandon,
-                 idempotency::CopyRequest, idempotency::CopyReply,
-                 SnapshotRequest, Snapshot, Cancel, JobCall, JobReply,
-                 HeadOffer>;
+    std::variant<Heartbeat, BorrowRequest, LoanGrant, LoanReturn,
+                 idempotency::ReserveRequest, idempotency::ReserveReply, Finish,
+                 Abandon, idempotency::CopyRequest, idempotency::CopyReply,
+                 SnapshotRequest, Snapshot, CancelRequest, JobCall, JobReply,
+                 LeadershipOffer>;
 
 /// Who sent a message, and when by its own clock.
 struct Sender {
--- a/src/peers/peermesh.h
+++ b/src/peers/peermesh.h
@@ -57,7 +57,7 @@
             const Message &Body);
 
   /// Closes connections to addresses that are not in \p Wanted.
-  void keepOnly(const std::vector<std::string> &Wanted);
+  void closeConnectionsExcept(const std::vector<std::string> &Wanted);
 
   const MeshCounters &counters() const;
 
--- a/src/peers/tests/messagecodectest.cpp
+++ b/src/peers/tests/messagecodectest.cpp
@@ -15,7 +15,7 @@
   return {fleet::EntryName(Name), fleet::Incarnation(7)};
 }
 
-Letter letterWith(Message Body) {
+Envelope envelopeWith(Message Body) {
   return {{idOf("a"), "127.0.0.1:1", TimePoint(std::chrono::seconds(3))},
           idOf("b"),
           std::move(Body)};
@@ -24,23 +24,23 @@
 } // namespace
 
 BOOST_AUTO_TEST_CASE(LettersArriveAsTheyWereSent) {
-  Grant Sent;
+  LoanGrant Sent;
   Sent.Loans_.push_back({{idOf("a"), 5},
                          limits::SubjectName("team/x"),
                          limits::Unit(9),
                          TimePoint(std::chrono::seconds(4))});
   Sent.Team_ = fleet::TeamName("x");
-  const Letter Got = *decode(encode(letterWith(Sent)));
+  const Envelope Got = *decode(encode(envelopeWith(Sent)));
   BOOST_TEST((Got.From_.Id_ == idOf("a")));
   BOOST_TEST((Got.To_ == idOf("b")));
-  const auto &Body = std::get<Grant>(Got.Message_);
+  const auto &Body = std::get<LoanGrant>(Got.Message_);
   BOOST_REQUIRE(Body.Loans_.size() == 1u);
   BOOST_TEST((Body.Loans_[0].Id_ == Sent.Loans_[0].Id_));
   BOOST_TEST((Body.Loans_[0].Until_ == Sent.Loans_[0].Until_));
 }
 
 BOOST_AUTO_TEST_CASE(OtherVersionIsRefusedAndUnknownFieldIsPassedOver) {
-  const std::string Bytes = encode(letterWith(SnapshotRequest{}));
+  const std::string Bytes = encode(envelopeWith(SnapshotRequest{}));
   wire::Envelope Raw;
   BOOST_REQUIRE(Raw.ParseFromString(Bytes));
   Raw.set_version(WireVersion + 1);
@@ -54,7 +54,7 @@
   std::mt19937 Random(1);
   Heartbeat Beat;
   Beat.StillHeld_.push_back({limits::SubjectName("team/x"), limits::Unit(1)});
-  const std::string Bytes = encode(letterWith(Beat));
+  const std::string Bytes = encode(envelopeWith(Beat));
   std::size_t Refused = 0;
   for (int I = 0; I < 20000; ++I) {
     std::string Damaged = Bytes;
--- a/src/pools/internal/moveplanner.cpp
+++ b/src/pools/internal/moveplanner.cpp
@@ -64,7 +64,7 @@
     Row.InWave_ = waveIsGoing(Seen.Tables_, Row.Name_);
   }
   for (const auto &[Name, Machine] : Seen.Tables_.Vms_) {
-    const auto Row = Result.find(fleet::poolOf(Machine));
+    const auto Row = Result.find(fleet::currentPool(Machine));
     if (Row == Result.end() || !maintenance::isAvailable(Machine, Seen.List_))
       continue;
     Row->second.Usable_.push_back(&Machine);
--- a/src/pools/tests/moveplannertest.cpp
+++ b/src/pools/tests/moveplannertest.cpp
@@ -57,7 +57,7 @@
   int vmsIn(const char *Pool) {
     return static_cast<int>(std::count_if(
         Tables_.Vms_.begin(), Tables_.Vms_.end(), [&](const auto &Row) {
-          return fleet::poolOf(Row.second) == PoolName(Pool);
+          return fleet::currentPool(Row.second) == PoolName(Pool);
         }));
   }
 };
--- a/src/routing/internal/endpointtable.cpp
+++ b/src/routing/internal/endpointtable.cpp
@@ -24,7 +24,7 @@
   if (Added)
     Rows_.emplace_back();
   Endpoint &Row = Rows_[At->second.value()];
-  const PoolName &Pool = fleet::poolOf(Vm);
+  const PoolName &Pool = fleet::currentPool(Vm);
   if (!Row.Declared_ || Row.Pool_ != Pool) {
     if (Row.Declared_)
       std::erase(Pools_[Row.Pool_], At->second);
--- a/src/store/etcdstore.h
+++ b/src/store/etcdstore.h
@@ -31,15 +31,15 @@
                                    TimePoint Deadline);
   /// As post(), for an answer that grows with the stored state; the body is
   /// bounded by bodyDeadlines().
-  absl::StatusOr<std::string> postWithPartDeadlines(std::string_view Path,
-                                                    std::string Body,
-                                                    TimePoint HeadDeadline);
+  absl::StatusOr<std::string> postForLargeAnswer(std::string_view Path,
+                                                 std::string Body,
+                                                 TimePoint HeadDeadline);
   /// Returns the body of a 200 answer. Switches to the next endpoint if the
   /// exchange failed.
   absl::StatusOr<std::string>
   bodyOf(absl::StatusOr<framework::http::Response> Answer);
   framework::http::Client &current() { return *Clients_[Current_]; }
-  void tryNextEndpoint() { Current_ = (Current_ + 1) % Clients_.size(); }
+  void useNextServer() { Current_ = (Current_ + 1) % Clients_.size(); }
 
   std::vector<std::unique_ptr<framework::http::Client>> Clients_;
   std::size_t Current_ = 0;
--- a/src/store/internal/etcdstore.cpp
+++ b/src/store/internal/etcdstore.cpp
@@ -12,10 +12,12 @@
 /// The gateway closes nothing while a watch is quiet; a longer silence than
 /// this ends the watch, so that a dead path costs at most this time. The
 /// periodic range of the caller bounds staleness more tightly.
-constexpr framework::clock::Duration WatchSilence = std::chrono::seconds(60);
-constexpr framework::clock::Duration WatchStart = std::chrono::seconds(3);
+constexpr framework::clock::Duration WatchIdleTimeout =
+    std::chrono::seconds(60);
+constexpr framework::clock::Duration WatchStartTimeout =
+    std::chrono::seconds(3);
 
-http::Request postOf(std::string_view Path, std::string Body) {
+http::Request makePost(std::string_view Path, std::string Body) {
   http::Request Message;
   Message.Method_ = "POST";
   Message.Target_ = std::string(Path);
@@ -35,23 +37,23 @@
 absl::StatusOr<std::string>
 EtcdStore::post(std::string_view Path, std::string Body, TimePoint Deadline) {
   ++Calls_;
-  return bodyOf(current().exchange(postOf(Path, std::move(Body)), Deadline,
-                                   LongestWatchLine));
+  return bodyOf(current().exchange(makePost(Path, std::move(Body)), Deadline,
+                                   MaxWatchLineBytes));
 }
 
 absl::StatusOr<std::string>
-EtcdStore::postWithPartDeadlines(std::string_view Path, std::string Body,
-                                 TimePoint HeadDeadline) {
+EtcdStore::postForLargeAnswer(std::string_view Path, std::string Body,
+                              TimePoint HeadDeadline) {
   ++Calls_;
-  return bodyOf(current().exchange(postOf(Path, std::move(Body)), HeadDeadline,
-                                   bodyDeadlines(HeadDeadline),
-                                   LongestWatchLine));
+  return bodyOf(current().exchange(makePost(Path, std::move(Body)),
+                                   HeadDeadline, bodyDeadlines(HeadDeadline),
+                                   MaxWatchLineBytes));
 }
 
 absl::StatusOr<std::string>
 EtcdStore::bodyOf(absl::StatusOr<http::Response> Answer) {
   if (!Answer.ok()) {
-    tryNextEndpoint();
+    useNextServer();
     return Answer.status();
   }
   if (Answer->Status_ != 200)
@@ -64,8 +66,8 @@
 absl::StatusOr<RangeResult> EtcdStore::range(const std::string &Prefix,
                                              Revision Since,
                                              TimePoint Deadline) {
-  const auto Body = postWithPartDeadlines(
-      "/v3/kv/range", rangeRequest(Prefix, Since), Deadline);
+  const auto Body =
+      postForLargeAnswer("/v3/kv/range", rangeRequest(Prefix, Since), Deadline);
   if (!Body.ok())
     return Body.status();
   return readRangeAnswer(*Body);
@@ -86,12 +88,13 @@
   const framework::clock::SystemClock Clock;
   WatchReader Reader(OnBatch);
   const absl::Status Status = current().stream(
-      postOf("/v3/watch", watchRequest(Prefix, Since)),
-      Clock.now() + WatchStart, [&] { return Clock.now() + WatchSilence; },
+      makePost("/v3/watch", watchRequest(Prefix, Since)),
+      Clock.now() + WatchStartTimeout,
+      [&] { return Clock.now() + WatchIdleTimeout; },
       [](const http::Response &Head) { return Head.Status_ == 200; },
       [&](std::string_view Part) { return Reader.feed(Part); });
   if (!Status.ok())
-    tryNextEndpoint();
+    useNextServer();
   return Reader.status().ok() ? Status : Reader.status();
 }
 
--- a/src/store/internal/gatewayjson.cpp
+++ b/src/store/internal/gatewayjson.cpp
@@ -197,12 +197,12 @@
 
 bool WatchReader::feed(std::string_view Part) {
   Pending_ += Part;
-  if (Pending_.size() > LongestWatchLine)
+  if (Pending_.size() > MaxWatchLineBytes)
     return fail(absl::ResourceExhaustedError("watch answer is too large"));
   std::size_t Start = 0;
   for (std::size_t End = Pending_.find('\n'); End != std::string::npos;
        End = Pending_.find('\n', Start)) {
-    if (!line(std::string_view(Pending_).substr(Start, End - Start)))
+    if (!handleLine(std::string_view(Pending_).substr(Start, End - Start)))
       return false;
     Start = End + 1;
   }
@@ -215,7 +215,7 @@
   return false;
 }
 
-bool WatchReader::line(std::string_view Text) {
+bool WatchReader::handleLine(std::string_view Text) {
   if (Text.empty())
     return true;
   absl::StatusOr<json::object> Answer = parseObject(Text);
@@ -227,7 +227,7 @@
   if (const json::value *Cancelled = Result->if_contains("canceled");
       Cancelled && Cancelled->is_bool() && Cancelled->get_bool())
     return fail(absl::OutOfRangeError("history has been compacted"));
-  return Take_(readBatch(*Result));
+  return Callback_(readBatch(*Result));
 }
 
 } // namespace laburnumspread::store
--- a/src/store/internal/gatewayjson.h
+++ b/src/store/internal/gatewayjson.h
@@ -13,7 +13,7 @@
 // The bodies of the etcd v3 JSON gateway: keys and values are base64, 64-bit
 // numbers are strings, fields with a default value are left out.
 
-constexpr std::size_t LongestWatchLine = 64ULL * 1024 * 1024;
+constexpr std::size_t MaxWatchLineBytes = 64ULL * 1024 * 1024;
 
 std::string rangeRequest(const std::string &Prefix, Revision Since);
 std::string transactionRequest(const Transaction &Txn);
@@ -32,7 +32,7 @@
 public:
   using OnBatch = std::function<bool(const WatchBatch &)>;
 
-  explicit WatchReader(const OnBatch &Take) : Take_(Take) {}
+  explicit WatchReader(const OnBatch &Take) : Callback_(Take) {}
 
   /// Returns whether to read on.
   bool feed(std::string_view Part);
@@ -43,9 +43,9 @@
 
 private:
   bool fail(absl::Status Why);
-  bool line(std::string_view Text);
+  bool handleLine(std::string_view Text);
 
-  const OnBatch &Take_;
+  const OnBatch &Callback_;
   std::string Pending_;
   absl::Status Status_;
 };
