--- a/src/cell/cellservice.h
+++ b/src/cell/cellservice.h
@@ -60,7 +60,7 @@
   }
 
   /// The holder with this token cannot reach the store and lets others lead.
-  void handleOffer(const peers::HeadOffer &Offer) {
+  void handleOffer(const peers::LeadershipOffer &Offer) {
     Elector_.handleOffer(Offer);
   }
 
@@ -99,7 +99,7 @@
   /// Serves a call if this entry leads; \p Reply may run later, once.
   void handle(const peers::JobCall &Call, const JobReplyFn &Reply) {
     if (!leads())
-      return Reply({Call.Sequence_, peers::JobVerdict::NotHolder, "", 0, 0});
+      return Reply({Call.Sequence_, peers::JobCallStatus::NotLeader, "", 0, 0});
     const auto ReplyWithVersion =
         [Reply, Version = Config_.Version_.value()](peers::JobReply Answer) {
           Answer.ConfigVersion_ = Version;
@@ -126,7 +126,7 @@
 
   /// Returns the verdict to refuse a call with under a newer configuration, or
   /// nullopt. A resent submission whose job is already stored is not refused.
-  std::optional<peers::JobVerdict>
+  std::optional<peers::JobCallStatus>
   refusalFor(const peers::JobCall &Call) const {
     const auto Refusal = refusalByNewerConfig(Config_, Call);
     if (!Refusal || (Call.Kind_ == peers::JobCallKind::Submit &&
--- a/src/cell/internal/callrouter.cpp
+++ b/src/cell/internal/callrouter.cpp
@@ -5,8 +5,8 @@
 namespace laburnumspread::cell {
 
 using framework::clock::SteadyClock;
+using peers::JobCallStatus;
 using peers::JobReply;
-using peers::JobVerdict;
 
 JobReply CallRouter::call(peers::JobCall Call, TimePoint LeaderDeadline,
                           TimePoint Deadline) {
@@ -34,7 +34,7 @@
         std::min<Duration>(ResendInterval, Deadline - SteadyClock().now());
     if (!Own->Reply_)
       Own->Wake_->waitUntil(framework::clock::wallDeadline(Wait));
-    if (Own->Reply_ && Own->Reply_->Verdict_ != JobVerdict::NotHolder) {
+    if (Own->Reply_ && Own->Reply_->Status_ != JobCallStatus::NotLeader) {
       Answer = *Own->Reply_;
       break;
     }
@@ -49,8 +49,8 @@
   if (Answer)
     return *Answer;
   JobReply Result;
-  Result.Verdict_ = Attempts.mayHaveBeenAccepted() ? JobVerdict::Unknown
-                                                   : JobVerdict::Refused;
+  Result.Status_ = Attempts.mayHaveBeenAccepted() ? JobCallStatus::Unknown
+                                                   : JobCallStatus::Refused;
   return Result;
 }
 
--- a/src/cell/leaderelector.h
+++ b/src/cell/leaderelector.h
@@ -61,7 +61,7 @@
   /// Time of a peer for its look at the head; past it the offer is old.
   static constexpr Duration OfferTimeout = std::chrono::milliseconds(300);
 
-  using OfferFn = std::function<void(const peers::HeadOffer &)>;
+  using OfferFn = std::function<void(const peers::LeadershipOffer &)>;
 
   LeaderElector(Store &S, const journal::CellKeys &Keys, journal::Leader Self,
                 Candidacy Own, LeaderCallbacks Events)
@@ -99,7 +99,7 @@
   void setOfferSender(OfferFn Send) { SendOffer_ = std::move(Send); }
 
   /// The holder with this token cannot reach the store and lets others lead.
-  void handleOffer(const peers::HeadOffer &Offer) {
+  void handleOffer(const peers::LeadershipOffer &Offer) {
     if (Leaving_ || Leadership_.held() || Campaigning_ ||
         now() - StoreFailedAt_ < StoreFailureWindow)
       return;
--- a/src/maintenance/internal/disruptionbudgets.cpp
+++ b/src/maintenance/internal/disruptionbudgets.cpp
@@ -10,15 +10,15 @@
 
 DisruptionBudgets::BudgetScope
 DisruptionBudgets::poolScope(const fleet::Vm &Vm) {
-  return {fleet::poolOf(Vm).str(), "", ""};
+  return {fleet::currentPool(Vm).str(), "", ""};
 }
 DisruptionBudgets::BudgetScope
 DisruptionBudgets::zoneScope(const fleet::Vm &Vm) {
-  return {fleet::poolOf(Vm).str(), Vm.Spec_.Zone_.str(), "zone"};
+  return {fleet::currentPool(Vm).str(), Vm.Spec_.Zone_.str(), "zone"};
 }
 DisruptionBudgets::BudgetScope
 DisruptionBudgets::rackScope(const fleet::Vm &Vm) {
-  return {fleet::poolOf(Vm).str(), Vm.Spec_.Rack_.str(), "rack"};
+  return {fleet::currentPool(Vm).str(), Vm.Spec_.Rack_.str(), "rack"};
 }
 
 DisruptionBudgets::DisruptionBudgets(const config::FleetTables &Tables,
@@ -43,15 +43,16 @@
 }
 
 std::string DisruptionBudgets::blockingReason(const fleet::Vm &Vm) const {
-  const auto *Pool = Tables_.find<fleet::Pool>(fleet::poolOf(Vm).str());
+  const auto *Pool = Tables_.find<fleet::Pool>(fleet::currentPool(Vm).str());
   if (!Pool)
-    return "pool " + fleet::poolOf(Vm).str() + " is not declared";
+    return "pool " + fleet::currentPool(Vm).str() + " is not declared";
   const fleet::AvailabilityBudget &Budget = Pool->Spec_.Budget_;
-  auto Exceeded = [&](const BudgetScope &Where, const fleet::Amount &Allowed) {
+  auto Exceeded = [&](const BudgetScope &Where,
+                      const fleet::CountOrPercent &Allowed) {
     const Count &Row = at(Where);
-    return Row.Down_ + 1 > Allowed.of(Row.Total_);
+    return Row.Down_ + 1 > Allowed.resolve(Row.Total_);
   };
-  auto TextOf = [&](const BudgetScope &Where, const fleet::Amount &Allowed) {
+  auto TextOf = [&](const BudgetScope &Where, const fleet::CountOrPercent &Allowed) {
     const Count &Row = at(Where);
     std::string Text = "pool " + std::string(Where.Pool_);
     if (!Where.Kind_.empty())
@@ -60,7 +61,7 @@
     return Text + ": " + std::to_string(Row.Down_) + " of " +
            std::to_string(Row.Total_) +
            " VMs are unavailable, the budget allows " +
-           std::to_string(Allowed.of(Row.Total_));
+           std::to_string(Allowed.resolve(Row.Total_));
   };
   if (Exceeded(poolScope(Vm), Budget.Pool_))
     return TextOf(poolScope(Vm), Budget.Pool_);
--- a/src/pools/internal/moveplanner.cpp
+++ b/src/pools/internal/moveplanner.cpp
@@ -66,7 +66,7 @@
     Row.InWave_ = isWaveActive(Seen.Tables_, Row.Name_);
   }
   for (const auto &[Name, Machine] : Seen.Tables_.Vms_) {
-    const auto Row = Result.find(fleet::poolOf(Machine));
+    const auto Row = Result.find(fleet::currentPool(Machine));
     if (Row == Result.end() || !maintenance::isAvailable(Machine, Seen.List_))
       continue;
     Row->second.Usable_.push_back(&Machine);
