--- a/soak/callers.cpp
+++ b/soak/callers.cpp
@@ -4,16 +4,16 @@
 #include "framework/fibers/spawn.h"
 #include "framework/fibers/waiter.h"
 #include "framework/log/log.h"
-#include "platform/standin/operator.h"
+#include "platform/standin/testrequests.h"
 
 #include <cstdio>
 
 namespace laburnumspread::soak {
 
 using framework::fibers::sleepFor;
-using platform::standin::jobBody;
-using platform::standin::jobCall;
-using platform::standin::stateIn;
+using platform::standin::makeJobBody;
+using platform::standin::makeJobRequest;
+using platform::standin::parseJobState;
 using namespace std::chrono_literals;
 
 namespace {
@@ -81,8 +81,9 @@
                   const std::string &Id, const std::string &Body,
                   std::string &Answer) {
   const std::size_t Entry = Self.Draws_.below(Served_.count());
-  const auto Heard = Self.Clients_[Entry]->exchange(
-      jobCall(Method, Id, Body), framework::clock::wallDeadline(Patience));
+  const auto Heard =
+      Self.Clients_[Entry]->exchange(makeJobRequest(Method, Id, Body),
+                                     framework::clock::wallDeadline(Patience));
   const bool Sent = Heard.ok() || Heard.status().message().find("not sent") ==
                                       absl::string_view::npos;
   const int Status = Heard.ok() ? Heard->Status_ : Sent ? NoAnswer : NotSent;
@@ -99,7 +100,7 @@
 
 void Callers::submit(Caller &Self, JobRecord &Job) {
   const std::string Body =
-      jobBody(Job.Tasks_, Job.Standing_, Self.Draws_.between(20ms, 1500ms));
+      makeJobBody(Job.Tasks_, Job.Standing_, Self.Draws_.between(20ms, 1500ms));
   std::string Answer;
   const std::uint64_t Attempts = 1 + Self.Draws_.below(MostAttempts);
   bool OnlyRefused = true;
@@ -144,7 +145,7 @@
   expectKnown(Job, Status, "read");
   if (Status != 200)
     return;
-  const std::string State = stateIn(Answer);
+  const std::string State = parseJobState(Answer);
   Job.DoneHeard_ = State == "done";
   if (State == "failed" || State == "cancelled")
     Found_.find("job that nobody cancelled is " + State + ": " + Job.Id_.str());
@@ -165,7 +166,7 @@
   const CallerPtr Self = make(0);
   for (const auto &Client : Self->Clients_) {
     const auto Heard = Client->exchange(
-        jobCall("GET", ""), framework::clock::wallDeadline(Patience));
+        makeJobRequest("GET", ""), framework::clock::wallDeadline(Patience));
     if (!Heard.ok() || Heard->Status_ != 200)
       return false;
   }
@@ -181,7 +182,7 @@
     std::string Answer;
     const int Status = call(*Self, "GET", Job.Id_.str(), "", Answer);
     expectKnown(Job, Status, "read at the end");
-    const std::string State = Status == 200 ? stateIn(Answer) : "";
+    const std::string State = Status == 200 ? parseJobState(Answer) : "";
     const bool Right = Job.CancelHeard_
                            ? State == "cancelled" || State == "done"
                        : Job.Standing_ ? State == "running"
--- a/soak/faults.cpp
+++ b/soak/faults.cpp
@@ -4,7 +4,7 @@
 #include "framework/fibers/spawn.h"
 #include "framework/fibers/waiter.h"
 #include "framework/log/log.h"
-#include "platform/standin/operator.h"
+#include "platform/standin/testrequests.h"
 
 namespace laburnumspread::soak {
 
@@ -147,30 +147,31 @@
 
 Faults::End Faults::shut() {
   return atDoor("shut", [this](std::uint16_t Port, bool On) {
-    On ? Platform_.shutDoor(Port) : Platform_.reopenDoor(Port);
+    On ? Platform_.blockStoreAccess(Port) : Platform_.unblockStoreAccess(Port);
   });
 }
 
 Faults::End Faults::shutAll() {
-  return hold("shut-all", [this](bool On) { Platform_.faults().Busy_ = On; });
+  return hold("shut-all",
+              [this](bool On) { Platform_.faults().RefuseStoreCalls_ = On; });
 }
 
 Faults::End Faults::slow() {
   const auto Delay = Draws_.between(20ms, 800ms);
   return atDoor("slow", [this, Delay](std::uint16_t Port, bool On) {
-    Platform_.doorFaults(Port).Delay_ = On ? Delay : 0ms;
+    Platform_.portFaults(Port).Delay_ = On ? Delay : 0ms;
   });
 }
 
 Faults::End Faults::reset() {
   return atDoor("reset", [this](std::uint16_t Port, bool On) {
-    Platform_.doorFaults(Port).Reset_ = On;
+    Platform_.portFaults(Port).Reset_ = On;
   });
 }
 
 Faults::End Faults::mute() {
   return atDoor("mute", [this](std::uint16_t Port, bool On) {
-    Platform_.doorFaults(Port).Mute_ = On;
+    Platform_.portFaults(Port).DropResponses_ = On;
   });
 }
 
@@ -234,25 +235,25 @@
 Faults::End Faults::loseAnswers() {
   const auto Number = static_cast<std::uint32_t>(1 + Draws_.below(5));
   return hold("lose-answers", [this, Number](bool On) {
-    Platform_.faults().LoseAnswers_ = On ? Number : 0;
+    Platform_.faults().DropWriteResponses_ = On ? Number : 0;
   });
 }
 
 Faults::End Faults::lateAnswers() {
   const auto Delay = Draws_.between(20ms, 1000ms);
   return hold("late-answers", [this, Delay](bool On) {
-    Platform_.faults().AnswerDelay_ = On ? Delay : 0ms;
+    Platform_.faults().WriteResponseDelay_ = On ? Delay : 0ms;
   });
 }
 
 Faults::End Faults::pauseLeases() {
   return hold("pause-leases",
-              [this](bool On) { Platform_.faults().LeasesPause_ = On; });
+              [this](bool On) { Platform_.faults().LeaseExpiryPaused_ = On; });
 }
 
 Faults::End Faults::hideWorkers() {
   return hold("hide-workers",
-              [this](bool On) { Platform_.faults().HideWorkers_ = On; });
+              [this](bool On) { Platform_.faults().RefuseWorkerList_ = On; });
 }
 
 Faults::End Faults::crashWorker() {
@@ -266,13 +267,13 @@
 
 Faults::End Faults::loseStops() {
   return hold("lose-stops",
-              [this](bool On) { Platform_.workerFaults().LoseStops_ = On; });
+              [this](bool On) { Platform_.workerFaults().DropStops_ = On; });
 }
 
 Faults::End Faults::loseStartAnswers() {
   const auto Number = static_cast<std::uint32_t>(1 + Draws_.below(5));
   return hold("lose-start-answers", [this, Number](bool On) {
-    Platform_.workerFaults().LoseStartAnswers_ = On ? Number : 0;
+    Platform_.workerFaults().DropStartResponses_ = On ? Number : 0;
   });
 }
 
--- a/soak/judge.cpp
+++ b/soak/judge.cpp
@@ -43,7 +43,7 @@
 std::vector<std::string> neverAllowed(const JobBook &Book,
                                       const TaskLedger &Ledger) {
   std::vector<std::string> Result;
-  for (const jobs::TaskName &Task : Ledger.Broken_)
+  for (const jobs::TaskName &Task : Ledger.ForbiddenDuplicates_)
     Result.push_back("task in two places or again after a good end: " +
                      Task.str());
   for (const JobRecord &Job : Book) {
--- a/soak/soak.cpp
+++ b/soak/soak.cpp
@@ -3,7 +3,7 @@
 #include "framework/fibers/spawn.h"
 #include "framework/fibers/waiter.h"
 #include "framework/log/log.h"
-#include "platform/standin/operator.h"
+#include "platform/standin/testrequests.h"
 #include "soak/callers.h"
 #include "soak/faults.h"
 
@@ -93,12 +93,12 @@
   if (absl::Status Bound = Platform_.start({"127.0.0.1", 0}); !Bound.ok())
     return Bound;
   for (std::size_t I = 0; I < MachineCount; ++I)
-    if (absl::Status Added = Platform_.addWorker("m" + std::to_string(I),
-                                                 platform::standin::OnlyPool);
+    if (absl::Status Added = Platform_.addWorker(
+            "m" + std::to_string(I), platform::standin::DefaultPool);
         !Added.ok())
       return Added;
   for (std::size_t I = 0; I < Entries_.count(); ++I) {
-    const auto Door = Platform_.openDoor("127.0.0.1");
+    const auto Door = Platform_.openPort("127.0.0.1");
     if (!Door.ok())
       return Door.status();
     Doors_.push_back(*Door);
--- a/soak/tests/judgetest.cpp
+++ b/soak/tests/judgetest.cpp
@@ -30,7 +30,7 @@
 
 BOOST_AUTO_TEST_CASE(TaskInTwoPlacesIsFound) {
   BOOST_TEST(neverAllowed(Book_, Ledger_).empty());
-  Ledger_.Broken_.insert(task(0));
+  Ledger_.ForbiddenDuplicates_.insert(task(0));
   BOOST_TEST(neverAllowed(Book_, Ledger_).size() == 1u);
 }
 
--- a/src/api/callerapi.h
+++ b/src/api/callerapi.h
@@ -13,7 +13,8 @@
   void cancel(framework::http::Exchange &Call, const std::string &Key);
 
 private:
-  std::optional<fleet::TeamName> teamOf(framework::http::Exchange &Call);
+  std::optional<fleet::TeamName>
+  authenticateTeam(framework::http::Exchange &Call);
 
   ApiContext &Context_;
 };
--- a/src/api/httpapi.h
+++ b/src/api/httpapi.h
@@ -12,14 +12,14 @@
       : Context_(Context), Callers_(Context), Operators_(Context) {}
 
   void handle(framework::http::Exchange &Call);
-  void changed() { Operators_.changed(); }
+  void notifyWatchers() { Operators_.notifyWatchers(); }
 
   /// The state of this process as JSON text.
   std::string dump() const;
 
 private:
-  bool handleOwn(framework::http::Exchange &Call,
-                 const framework::http::Target &Path);
+  bool handleDiagnostics(framework::http::Exchange &Call,
+                         const framework::http::Target &Path);
   void replyReadiness(framework::http::Exchange &Call);
   void setLogLevel(framework::http::Exchange &Call,
                    const framework::http::Target &Path);
@@ -30,6 +30,6 @@
 };
 
 /// The answer to a request whose header could not be read.
-framework::http::Response faultReply(int Status, const std::string &Reason);
+framework::http::Response errorResponse(int Status, const std::string &Reason);
 
 } // namespace laburnumspread::api
--- a/src/api/internal/callerapi.cpp
+++ b/src/api/internal/callerapi.cpp
@@ -34,7 +34,7 @@
   return std::nullopt;
 }
 
-Problem notRun(ProblemCode Code, std::string Detail) {
+Problem notRunProblem(ProblemCode Code, std::string Detail) {
   return {Code, std::move(Detail), fleet::Outcome::NotRun, {}};
 }
 
@@ -46,8 +46,8 @@
     return Now + DefaultDeadline;
   const auto Millis = parseNumber(*Text);
   // Far beyond any clock, and small enough not to overflow in microseconds.
-  constexpr std::int64_t LargestMillis = 1LL << 50;
-  if (!Millis || *Millis > LargestMillis)
+  constexpr std::int64_t MaxMillis = 1LL << 50;
+  if (!Millis || *Millis > MaxMillis)
     return std::nullopt;
   return std::min(framework::clock::fromMillis(*Millis),
                   Now + membership::LongestTaskLease);
@@ -59,22 +59,22 @@
   if (!Text) {
     if (Into.Repeatable_)
       return std::nullopt;
-    return notRun(ProblemCode::MissingIdempotencyKey,
-                  "a non-repeatable request needs an Idempotency-Key");
+    return notRunProblem(ProblemCode::MissingIdempotencyKey,
+                         "a non-repeatable request needs an Idempotency-Key");
   }
   Into.Key_ = idempotency::parseRequestKey(*Text);
   if (!Into.Key_)
-    return notRun(ProblemCode::MalformedIdempotencyKey,
-                  "Idempotency-Key must be a UUID of version 7");
+    return notRunProblem(ProblemCode::MalformedIdempotencyKey,
+                         "Idempotency-Key must be a UUID of version 7");
   if (Into.Repeatable_)
     return std::nullopt;
   switch (idempotency::ageOf(*Into.Key_, Now)) {
   case idempotency::KeyAge::TooOld:
-    return notRun(ProblemCode::KeyTooOld,
-                  "the key was minted more than 15 minutes ago");
+    return notRunProblem(ProblemCode::KeyTooOld,
+                         "the key was minted more than 15 minutes ago");
   case idempotency::KeyAge::FromTheFuture:
-    return notRun(ProblemCode::KeyFromTheFuture,
-                  "the key was minted later than now");
+    return notRunProblem(ProblemCode::KeyFromTheFuture,
+                         "the key was minted later than now");
   case idempotency::KeyAge::Usable:
     break;
   }
@@ -86,26 +86,29 @@
                                   entry::WorkRequest &Into) {
   const std::string_view Repeatable = Fields.find("Repeatable").value_or("?1");
   if (Repeatable != "?0" && Repeatable != "?1")
-    return notRun(ProblemCode::BadRequest, "Repeatable must be ?0 or ?1");
+    return notRunProblem(ProblemCode::BadRequest,
+                         "Repeatable must be ?0 or ?1");
   Into.Repeatable_ = Repeatable == "?1";
   const auto Deadline = readDeadline(Fields, Now);
   if (!Deadline)
-    return notRun(ProblemCode::BadRequest,
-                  "Request-Deadline must be milliseconds since the epoch");
+    return notRunProblem(
+        ProblemCode::BadRequest,
+        "Request-Deadline must be milliseconds since the epoch");
   Into.Deadline_ = *Deadline;
   if (Into.Deadline_ <= Now)
-    return notRun(ProblemCode::DeadlinePassed, "the deadline has passed");
+    return notRunProblem(ProblemCode::DeadlinePassed,
+                         "the deadline has passed");
   const auto Class =
       parseClass(Fields.find("Request-Class").value_or("normal"));
   if (!Class)
-    return notRun(ProblemCode::BadRequest,
-                  "Request-Class must be urgent, normal or batch");
+    return notRunProblem(ProblemCode::BadRequest,
+                         "Request-Class must be urgent, normal or batch");
   Into.Class_ = *Class;
   if (const auto Text = Fields.find("Request-Size")) {
     const auto Size = parseSize(*Text);
     if (!Size.ok())
-      return notRun(ProblemCode::BadRequest,
-                    std::string(Size.status().message()));
+      return notRunProblem(ProblemCode::BadRequest,
+                           std::string(Size.status().message()));
     Into.Size_ = *Size;
   }
   Into.ContentType_ = std::string(Fields.find("Content-Type").value_or(""));
@@ -145,13 +148,14 @@
   return Size;
 }
 
-std::optional<fleet::TeamName> CallerApi::teamOf(Exchange &Call) {
+std::optional<fleet::TeamName> CallerApi::authenticateTeam(Exchange &Call) {
   const auto Field = Call.head().Headers_.find("Authorization");
   if (!Field || !Field->starts_with(BearerPrefix)) {
-    Context_.Runner_.refuse(Call,
-                            notRun(ProblemCode::MissingKey,
-                                   "Authorization: Bearer <key> is required"),
-                            "key");
+    Context_.Runner_.refuse(
+        Call,
+        notRunProblem(ProblemCode::MissingKey,
+                      "Authorization: Bearer <key> is required"),
+        "key");
     return std::nullopt;
   }
   const auto &Tables = Context_.State_.Config_.tables();
@@ -163,10 +167,11 @@
                               : Tables.find<fleet::Key>(Known->second);
   if (Key)
     return Key->Spec_.Team_;
-  Context_.Runner_.refuse(Call,
-                          notRun(ProblemCode::UnknownKey,
-                                 "the key is not granted, or was withdrawn"),
-                          "key");
+  Context_.Runner_.refuse(
+      Call,
+      notRunProblem(ProblemCode::UnknownKey,
+                    "the key is not granted, or was withdrawn"),
+      "key");
   return std::nullopt;
 }
 
@@ -191,13 +196,14 @@
          "this entry reaches neither the store nor most other entries",
          fleet::Outcome::NotRun, std::chrono::seconds(2)},
         Pool);
-  const auto Team = teamOf(Call);
+  const auto Team = authenticateTeam(Call);
   if (!Team)
     return;
   const std::string Subject = Pool + "/" + Team->str();
   if (!State.Config_.tables().find<fleet::Pool>(Pool))
     return Context_.Runner_.refuse(
-        Call, notRun(ProblemCode::UnknownPool, "there is no pool " + Pool),
+        Call,
+        notRunProblem(ProblemCode::UnknownPool, "there is no pool " + Pool),
         Subject);
   entry::WorkRequest Request;
   Request.Pool_ = fleet::PoolName(Pool);
@@ -212,7 +218,7 @@
 }
 
 void CallerApi::cancel(Exchange &Call, const std::string &Text) {
-  const auto Team = teamOf(Call);
+  const auto Team = authenticateTeam(Call);
   if (!Team)
     return;
   const auto Key = idempotency::parseRequestKey(Text);
--- a/src/api/internal/httpapi.cpp
+++ b/src/api/internal/httpapi.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-Response textReply(int Status, std::string Text) {
+Response textResponse(int Status, std::string Text) {
   Response Answer;
   Answer.Status_ = Status;
   Answer.Headers_.add("Content-Type", "text/plain; charset=utf-8");
@@ -20,7 +20,7 @@
   return Answer;
 }
 
-Response problemReply(ProblemCode Code, const std::string &Detail) {
+Response problemResponse(ProblemCode Code, const std::string &Detail) {
   Response Answer;
   Answer.Status_ = entry::statusOf(Code);
   Answer.Headers_.add("Content-Type", "application/problem+json");
@@ -116,19 +116,19 @@
 }
 
 void replyProblem(Exchange &Call, ProblemCode Code, const std::string &Detail) {
-  Call.reply(problemReply(Code, Detail));
+  Call.reply(problemResponse(Code, Detail));
 }
 
-Response faultReply(int Status, const std::string &Reason) {
+Response errorResponse(int Status, const std::string &Reason) {
   switch (Status) {
   case 431:
-    return problemReply(ProblemCode::HeaderTooLarge, Reason);
+    return problemResponse(ProblemCode::HeaderTooLarge, Reason);
   case 408:
-    return problemReply(ProblemCode::SlowSender, Reason);
+    return problemResponse(ProblemCode::SlowSender, Reason);
   case 413:
-    return problemReply(ProblemCode::BodyTooLarge, Reason);
+    return problemResponse(ProblemCode::BodyTooLarge, Reason);
   default:
-    return problemReply(ProblemCode::BadRequest, Reason);
+    return problemResponse(ProblemCode::BadRequest, Reason);
   }
 }
 
@@ -149,21 +149,21 @@
   }
   if (!Parts.empty() && Parts[0] == "v1" && Operators_.handle(Call, Path))
     return;
-  if (!handleOwn(Call, Path))
+  if (!handleDiagnostics(Call, Path))
     replyProblem(Call, ProblemCode::NotFound, "nothing is served here");
 }
 
-bool HttpApi::handleOwn(Exchange &Call, const Target &Path) {
+bool HttpApi::handleDiagnostics(Exchange &Call, const Target &Path) {
   const auto &Parts = Path.Segments_;
   const std::string First = Parts.empty() ? "" : Parts[0];
   if (First == "healthz")
-    Call.reply(textReply(200, "ok\n"));
+    Call.reply(textResponse(200, "ok\n"));
   else if (First == "readyz")
     replyReadiness(Call);
   else if (First == "metrics")
-    Call.reply(textReply(200, Context_.State_.Metrics_.exposition()));
+    Call.reply(textResponse(200, Context_.State_.Metrics_.exposition()));
   else if (First == "debug" && Parts.size() == 2 && Parts[1] == "state") {
-    if (Operators_.admit(Call)) {
+    if (Operators_.authorizeOperator(Call)) {
       Response Answer;
       Answer.Status_ = 200;
       Answer.Headers_.add("Content-Type", "application/json");
@@ -171,7 +171,7 @@
       Call.reply(Answer);
     }
   } else if (First == "debug" && Parts.size() == 2 && Parts[1] == "log") {
-    if (Operators_.admit(Call))
+    if (Operators_.authorizeOperator(Call))
       setLogLevel(Call, Path);
   } else {
     return false;
@@ -188,7 +188,7 @@
     Why = "starting";
   else if (State.fenced())
     Why = "fenced";
-  Call.reply(textReply(Why == "ready" ? 200 : 503, std::string(Why) + "\n"));
+  Call.reply(textResponse(Why == "ready" ? 200 : 503, std::string(Why) + "\n"));
 }
 
 void HttpApi::setLogLevel(Exchange &Call, const Target &Path) {
@@ -199,7 +199,7 @@
     return replyProblem(Call, ProblemCode::BadRequest,
                         "level " + std::string(Parsed.message()));
   framework::log::setLevel(Wanted);
-  Call.reply(textReply(200, "ok\n"));
+  Call.reply(textResponse(200, "ok\n"));
 }
 
 std::string HttpApi::dump() const {
--- a/src/api/internal/operatorapi.cpp
+++ b/src/api/internal/operatorapi.cpp
@@ -21,9 +21,9 @@
 
 namespace {
 
-constexpr std::size_t LargestDocument = 256 * 1024;
+constexpr std::size_t MaxDocumentBytes = 256 * 1024;
 constexpr framework::clock::Duration WriteTimeout = 5s;
-constexpr framework::clock::Duration BookmarkEvery = 5s;
+constexpr framework::clock::Duration BookmarkInterval = 5s;
 
 std::optional<Revision> parseRevision(std::string_view Text) {
   while (Text.starts_with('"') || Text.starts_with("W/"))
@@ -45,7 +45,7 @@
     const absl::StatusOr<bool> Next = Call.readSome(Body, 16 * 1024);
     if (!Next.ok())
       return Next.status();
-    if (Body.size() > LargestDocument)
+    if (Body.size() > MaxDocumentBytes)
       return absl::ResourceExhaustedError("document is larger than 256 KiB");
     More = *Next;
   }
@@ -74,9 +74,10 @@
 } // namespace
 
 /// Writes JSON lines until the caller goes.
-class OperatorApi::LineStream {
+class OperatorApi::JsonLineStream {
 public:
-  LineStream(OperatorApi &Owner, Exchange &Call) : Owner_(Owner), Call_(Call) {
+  JsonLineStream(OperatorApi &Owner, Exchange &Call)
+      : Owner_(Owner), Call_(Call) {
     Call_.onCallerGone([Gone = Gone_, Wake = Wake_] {
       *Gone = true;
       if (*Wake)
@@ -88,7 +89,7 @@
     Call_.beginReply(Head, std::nullopt);
   }
 
-  ~LineStream() {
+  ~JsonLineStream() {
     Call_.onCallerGone(nullptr);
     Call_.endReply();
   }
@@ -104,7 +105,7 @@
     auto Next = std::make_shared<framework::fibers::Waiter>();
     *Wake_ = Next;
     Owner_.Watchers_.push_back(Next);
-    Next->waitUntil(Owner_.Context_.State_.now() + BookmarkEvery);
+    Next->waitUntil(Owner_.Context_.State_.now() + BookmarkInterval);
     return !*Gone_ && !Owner_.Context_.State_.Leaving_;
   }
 
@@ -117,10 +118,10 @@
 };
 
 OperatorApi::OperatorApi(ApiContext &Context) : Context_(Context) {
-  Context_.State_.Decisions_.onAdded([this] { changed(); });
+  Context_.State_.Decisions_.onAdded([this] { notifyWatchers(); });
 }
 
-void OperatorApi::changed() {
+void OperatorApi::notifyWatchers() {
   std::vector<std::weak_ptr<framework::fibers::Waiter>> Wakened;
   Wakened.swap(Watchers_);
   for (const auto &Item : Wakened)
@@ -128,7 +129,7 @@
       Waiter->signal();
 }
 
-bool OperatorApi::admit(Exchange &Call) {
+bool OperatorApi::authorizeOperator(Exchange &Call) {
   constexpr std::string_view Bearer = "Bearer ";
   const auto Field = Call.head().Headers_.find("Authorization");
   if (!Field || !Field->starts_with(Bearer)) {
@@ -151,7 +152,7 @@
   if (Parts.size() < 2 || Parts.size() > 3)
     return false;
   if (Parts[1] == "decisions" || Parts[1] == "entries") {
-    if (admit(Call))
+    if (authorizeOperator(Call))
       Parts[1] == "entries" ? handleEntries(Call, Path)
                             : handleDecisions(Call, Path);
     return true;
@@ -159,7 +160,7 @@
   const std::optional<Kind> Of = fleet::kindNamed(Parts[1]);
   if (!Of)
     return false;
-  if (!admit(Call))
+  if (!authorizeOperator(Call))
     return true;
   const std::string &Method = Call.head().Method_;
   const std::string Name = Parts.size() == 3 ? Parts[2] : "";
@@ -312,10 +313,10 @@
 template <typename T>
 void OperatorApi::remove(Exchange &Call, const std::string &Name,
                          const Target &Path) {
-  const std::string Keep = reasonToKeep(Context_.State_.Config_.tables(),
-                                        fleet::KindOf<T>::Value, Name);
-  if (!Keep.empty())
-    return replyProblem(Call, ProblemCode::Conflict, Keep);
+  const std::string Conflict = deletionConflict(
+      Context_.State_.Config_.tables(), fleet::KindOf<T>::Value, Name);
+  if (!Conflict.empty())
+    return replyProblem(Call, ProblemCode::Conflict, Conflict);
   std::optional<Revision> IfMatch;
   if (const auto Field = Call.head().Headers_.find("If-Match"))
     IfMatch = parseRevision(*Field);
@@ -330,9 +331,9 @@
 
 void OperatorApi::watch(Exchange &Call, Kind Of, const Target &Path) {
   auto &State = Context_.State_;
-  const auto Asked = Path.query("resourceVersion");
+  const auto Requested = Path.query("resourceVersion");
   std::optional<Revision> Since =
-      Asked ? parseRevision(*Asked) : State.Config_.revision();
+      Requested ? parseRevision(*Requested) : State.Config_.revision();
   if (!Since)
     return replyProblem(Call, ProblemCode::BadRequest,
                         "resourceVersion must be a number");
@@ -340,7 +341,7 @@
     return replyProblem(Call, ProblemCode::Gone,
                         "changes since " + std::to_string(Since->value()) +
                             " are no longer kept; list again");
-  LineStream Stream(*this, Call);
+  JsonLineStream Stream(*this, Call);
   do {
     const auto Changes = State.Changes_.since(Of, *Since);
     if (!Changes)
@@ -420,9 +421,9 @@
     return replyProblem(Call, ProblemCode::MethodNotAllowed,
                         "decisions are read only");
   const auto &Log = Context_.State_.Decisions_;
-  const auto Asked = Path.query("resourceVersion");
+  const auto Requested = Path.query("resourceVersion");
   const std::optional<Revision> Since =
-      Asked ? parseRevision(*Asked) : Revision(0);
+      Requested ? parseRevision(*Requested) : Revision(0);
   if (!Since)
     return replyProblem(Call, ProblemCode::BadRequest,
                         "resourceVersion must be a number");
@@ -444,7 +445,7 @@
   if (Since > 0 && Since + 1 < Log.firstKept())
     return replyProblem(Call, ProblemCode::Gone,
                         "earlier decisions are no longer kept");
-  LineStream Stream(*this, Call);
+  JsonLineStream Stream(*this, Call);
   do {
     for (const entry::Decision &Item : Log.since(Since)) {
       if (!Stream.line({{"type", "ADDED"}, {"object", toJson(Item)}}))
--- a/src/api/internal/validation.cpp
+++ b/src/api/internal/validation.cpp
@@ -17,7 +17,7 @@
       [&](const auto &Row) { return Row.second.Spec_.Pool_ == Pool; });
 }
 
-bool isOver(const fleet::Wave &Wave) {
+bool isFinished(const fleet::Wave &Wave) {
   return Wave.Status_.Phase_ == fleet::WavePhase::Complete ||
          Wave.Status_.Phase_ == fleet::WavePhase::Cancelled ||
          Wave.Spec_.Run_ == fleet::WaveRun::Cancel;
@@ -91,7 +91,7 @@
   if (Object.Spec_.Run_ == fleet::WaveRun::Cancel)
     return Errors;
   for (const auto &[Name, Other] : Tables.Waves_)
-    if (Name != Object.Metadata_.Name_ && !isOver(Other) &&
+    if (Name != Object.Metadata_.Name_ && !isFinished(Other) &&
         overlap(Object, Other))
       Errors.push_back({"spec.pools", "wave " + Name +
                                           " is under way in the same pools; "
@@ -99,8 +99,8 @@
   return Errors;
 }
 
-std::string reasonToKeep(const FleetTables &Tables, fleet::Kind Of,
-                         const std::string &Name) {
+std::string deletionConflict(const FleetTables &Tables, fleet::Kind Of,
+                             const std::string &Name) {
   if (Of == fleet::Kind::Pools && vmsIn(Tables, fleet::PoolName(Name)) > 0)
     return "the pool has VMs; move them first";
   if (Of == fleet::Kind::Teams)
@@ -109,7 +109,7 @@
         return "key " + KeyName + " belongs to the team; delete it first";
   if (Of == fleet::Kind::Waves)
     if (const auto *Wave = Tables.find<fleet::Wave>(Name);
-        Wave && !isOver(*Wave))
+        Wave && !isFinished(*Wave))
       return "the wave is under way; set spec.run to cancel first";
   return {};
 }
--- a/src/api/operatorapi.h
+++ b/src/api/operatorapi.h
@@ -18,10 +18,10 @@
               const framework::http::Target &Path);
 
   /// Whether the request holds an operator's key; answers it if not.
-  bool admit(framework::http::Exchange &Call);
+  bool authorizeOperator(framework::http::Exchange &Call);
 
   /// Wakes watchers.
-  void changed();
+  void notifyWatchers();
 
 private:
   template <typename T> void list(framework::http::Exchange &Call);
@@ -51,7 +51,7 @@
   void replyStatus(framework::http::Exchange &Call, const absl::Status &Why);
 
   /// A stream of JSON lines that ends with its caller or the process.
-  class LineStream;
+  class JsonLineStream;
 
   ApiContext &Context_;
   std::vector<std::weak_ptr<framework::fibers::Waiter>> Watchers_;
--- a/src/api/validation.h
+++ b/src/api/validation.h
@@ -20,7 +20,7 @@
                                           const fleet::Wave &Object);
 
 /// Why an object cannot be deleted, or empty.
-std::string reasonToKeep(const config::FleetTables &Tables, fleet::Kind Of,
-                         const std::string &Name);
+std::string deletionConflict(const config::FleetTables &Tables, fleet::Kind Of,
+                             const std::string &Name);
 
 } // namespace laburnumspread::api
--- a/src/app/cellapp.h
+++ b/src/app/cellapp.h
@@ -37,8 +37,8 @@
   std::string dump() const;
 
 private:
-  struct Parts;
-  std::unique_ptr<Parts> Parts_;
+  struct Impl;
+  std::unique_ptr<Impl> Impl_;
 };
 
 } // namespace laburnumspread::app
--- a/src/app/entryapp.h
+++ b/src/app/entryapp.h
@@ -27,15 +27,15 @@
   bool stop();
 
   /// Whether a letter may be exchanged with an entry. Tests cut paths with it.
-  using PathFilter = std::function<bool(const fleet::EntryName &)>;
-  void setPathFilter(PathFilter Open);
+  using PeerFilter = std::function<bool(const fleet::EntryName &)>;
+  void setPeerFilter(PeerFilter IsAllowed);
 
   /// The state of the process as JSON text.
   std::string dump() const;
 
 private:
-  struct Parts;
-  std::unique_ptr<Parts> Parts_;
+  struct Impl;
+  std::unique_ptr<Impl> Impl_;
 };
 
 } // namespace laburnumspread::app
--- a/src/app/internal/cellapp.cpp
+++ b/src/app/internal/cellapp.cpp
@@ -30,15 +30,15 @@
 
 /// The platform needs two missed answers, a second apart, to send no more
 /// callers here.
-constexpr auto NoticeTime = 2200ms;
-constexpr auto InFlightCheck = 20ms;
+constexpr auto DeregistrationTime = 2200ms;
+constexpr auto PollInterval = 20ms;
 
-membership::MemberId selfOf(const CellSettings &Settings) {
+membership::MemberId makeMemberId(const CellSettings &Settings) {
   return {Settings.Name_, fleet::Incarnation(framework::clock::toMicros(
                               framework::clock::SystemClock().now()))};
 }
 
-journal::Holder holderOf(const membership::MemberId &Self) {
+journal::Holder makeHolder(const membership::MemberId &Self) {
   journal::Holder Result;
   Result.Entry_ = Self.Name_;
   Result.Incarnation_ = Self.Incarnation_;
@@ -47,12 +47,12 @@
 
 } // namespace
 
-struct CellApp::Parts {
+struct CellApp::Impl {
   using Service = cell::CellService<platform::KvStore, platform::WorkerClient,
                                     platform::MachineClient>;
 
-  Parts(boost::asio::io_context &Io, CellSettings Settings)
-      : Settings_(std::move(Settings)), Self_(selfOf(Settings_)),
+  Impl(boost::asio::io_context &Io, CellSettings Settings)
+      : Settings_(std::move(Settings)), Self_(makeMemberId(Settings_)),
         Store_(Io, Settings_.Store_), Workers_(Io),
         Machines_(Io, Settings_.Machines_, Settings_.Name_.str()),
         Advisor_(Io, Settings_.Advisor_),
@@ -62,12 +62,12 @@
             {platform::waveStatusKey, platform::waveStatus},
             [this](const scheduling::StepName &Step,
                    const std::vector<cell::WorkerId> &Ids) {
-              return Advisor_.ask(Step, Ids);
+              return Advisor_.requestAdvice(Step, Ids);
             },
             cell::Candidacy(cell::Candidacy::weightOf(Settings_.Cores_,
                                                       Settings_.LinkMbps_)),
             journal::CellKeys(Settings_.StorePrefix_ + "cell/0/"),
-            holderOf(Self_), Settings_.Bounds_, Metrics_),
+            makeHolder(Self_), Settings_.Bounds_, Metrics_),
         Router_(
             {[this](const peers::JobCall &Call,
                     const cell::CallRouter::ReplyFn &Reply) {
@@ -83,11 +83,12 @@
                Mesh_.send({To.Entry_, To.Incarnation_}, To.PeerAddress_, Call);
              }}),
         Intake_(Router_, platform::readJob, Metrics_),
-        Follower_(Store_, std::string(platform::OperatorPrefix),
-                  {[this] { Intake_.confirmConfig(); },
-                   [this](const store::KeyValue &Item) { adopt(Item); },
-                   [this] { return Intake_.outdated(); }},
-                  Metrics_),
+        Follower_(
+            Store_, std::string(platform::OperatorPrefix),
+            {[this] { Intake_.confirmConfig(); },
+             [this](const store::KeyValue &Item) { applyConfigItem(Item); },
+             [this] { return Intake_.outdated(); }},
+            Metrics_),
         Api_(Intake_),
         Mesh_(Io, Self_, Settings_.PeerKeys_,
               [this](const peers::Sender &From, peers::Message &&Body) {
@@ -95,16 +96,16 @@
               }),
         Callers_(
             Io, {}, [this](Exchange &Call) { serveCaller(Call); },
-            platform::faultReply),
+            platform::errorResponse),
         Readiness_(
             Io, {},
             [this](Exchange &Call) {
-              Call.reply(platform::readinessReply(ready()));
+              Call.reply(platform::readinessResponse(ready()));
             },
-            platform::faultReply),
+            platform::errorResponse),
         MetricsServer_(
             Io, {}, [this](Exchange &Call) { serveMetrics(Call); },
-            platform::faultReply) {}
+            platform::errorResponse) {}
 
   void serveCaller(Exchange &Call) {
     ++InFlight_;
@@ -144,12 +145,12 @@
   }
 
   void offerLeadership(const peers::HeadOffer &Offer) {
-    for (const auto &[Name, Peer] : Heard_)
+    for (const auto &[Name, Peer] : KnownPeers_)
       Mesh_.send(Peer.Id_, Peer.Address_, Offer);
   }
 
   void receive(const peers::Sender &From, const peers::Message &Body) {
-    Heard_[From.Id_.Name_] = From;
+    KnownPeers_[From.Id_.Name_] = From;
     if (const auto *Offer = std::get_if<peers::HeadOffer>(&Body))
       return Cell_.takeOffer(*Offer);
     if (const auto *Call = std::get_if<peers::JobCall>(&Body)) {
@@ -161,7 +162,7 @@
       Router_.take(*Reply);
   }
 
-  void adopt(const store::KeyValue &Item) {
+  void applyConfigItem(const store::KeyValue &Item) {
     if (const auto Wave = platform::readWave(Item))
       Cell_.setWave(*Wave);
     if (Item.Key_ != platform::ConfigKey)
@@ -200,18 +201,18 @@
   framework::http::Server Readiness_;
   framework::http::Server MetricsServer_;
   /// Entries that have sent anything, by name: the latest process of each.
-  std::map<fleet::EntryName, peers::Sender> Heard_;
+  std::map<fleet::EntryName, peers::Sender> KnownPeers_;
   std::size_t InFlight_ = 0;
   bool Leaving_ = false;
 };
 
 CellApp::CellApp(boost::asio::io_context &Io, CellSettings Settings)
-    : Parts_(std::make_unique<Parts>(Io, std::move(Settings))) {}
+    : Impl_(std::make_unique<Impl>(Io, std::move(Settings))) {}
 
 CellApp::~CellApp() = default;
 
 absl::Status CellApp::start() {
-  Parts &P = *Parts_;
+  Impl &P = *Impl_;
   if (absl::Status Bound = P.Mesh_.bind(
           P.Settings_.Peers_,
           P.Settings_.PeersAdvertised_.value_or(P.Settings_.Peers_));
@@ -232,35 +233,35 @@
 }
 
 void CellApp::stop() {
-  Parts &P = *Parts_;
+  Impl &P = *Impl_;
   framework::log::info("entry.leaving")
       .field("in_flight", static_cast<std::uint64_t>(P.InFlight_));
   P.Leaving_ = true;
   P.Cell_.leave();
-  const TimePoint Noticed = SteadyClock().now() + NoticeTime;
+  const TimePoint Noticed = SteadyClock().now() + DeregistrationTime;
   const TimePoint Last =
       SteadyClock().now() + P.Settings_.Bounds_.Grace_ - 1500ms;
   while (SteadyClock().now() < Noticed ||
          (P.InFlight_ > 0 && SteadyClock().now() < Last))
-    sleepFor(InFlightCheck);
+    sleepFor(PollInterval);
   P.Callers_.stopAccepting();
   while (P.InFlight_ > 0 && SteadyClock().now() < Last)
-    sleepFor(InFlightCheck);
+    sleepFor(PollInterval);
   framework::log::info("entry.stopped")
       .field("left_in_flight", static_cast<std::uint64_t>(P.InFlight_));
 }
 
-std::uint16_t CellApp::callerPort() const { return Parts_->Callers_.port(); }
+std::uint16_t CellApp::callerPort() const { return Impl_->Callers_.port(); }
 std::uint16_t CellApp::metricsPort() const {
-  return Parts_->MetricsServer_.port();
+  return Impl_->MetricsServer_.port();
 }
 
-bool CellApp::leads() const { return Parts_->Cell_.leads(); }
+bool CellApp::leads() const { return Impl_->Cell_.leads(); }
 
 void CellApp::reload(const CellSettings &Settings) {
-  CellSettings &InForce = Parts_->Settings_;
+  CellSettings &InForce = Impl_->Settings_;
   framework::log::setLevel(Settings.LogLevel_);
-  Parts_->Cell_.setBounds(Settings.Bounds_);
+  Impl_->Cell_.setBounds(Settings.Bounds_);
   framework::log::info("settings.reloaded")
       .field("entry", InForce.Name_.str())
       .field("bounds_changed",
@@ -271,7 +272,7 @@
 }
 
 std::string CellApp::dump() const {
-  const Parts &P = *Parts_;
+  const Impl &P = *Impl_;
   boost::json::object Into{
       {"entry", P.Settings_.Name_.str()},
       {"configVersion", P.Intake_.config().Version_.value()},
--- a/src/app/internal/entryapp.cpp
+++ b/src/app/internal/entryapp.cpp
@@ -19,13 +19,13 @@
 namespace {
 
 /// Time in which an entry that was told to stop answers what is in flight.
-constexpr auto DrainTime = membership::LongestTaskLease;
-constexpr auto HandoverTime = 20s;
-constexpr auto CheckEvery = 20ms;
-constexpr auto TrimEvery = 5s;
-constexpr std::size_t TrimAbove = 1024 * 1024;
+constexpr auto DrainTimeout = membership::LongestTaskLease;
+constexpr auto HandoverTimeout = 20s;
+constexpr auto PollInterval = 20ms;
+constexpr auto HeapTrimInterval = 5s;
+constexpr std::size_t HeapTrimThreshold = 1024 * 1024;
 
-membership::Member selfOf(const EntrySettings &Settings) {
+membership::Member makeMember(const EntrySettings &Settings) {
   membership::Member Self;
   Self.Id_ = {Settings.Name_, fleet::Incarnation(framework::clock::toMicros(
                                   framework::clock::SystemClock().now()))};
@@ -61,9 +61,9 @@
 
 } // namespace
 
-struct EntryApp::Parts {
-  Parts(boost::asio::io_context &Io, EntrySettings Settings)
-      : Io_(Io), State_(Settings, selfOf(Settings)),
+struct EntryApp::Impl {
+  Impl(boost::asio::io_context &Io, EntrySettings Settings)
+      : Io_(Io), State_(Settings, makeMember(Settings)),
         Store_(Io, Settings.StoreEndpoints_),
         Writer_(Store_, Settings.StorePrefix_), Config_(State_, Store_),
         Membership_(State_, Store_, Config_),
@@ -85,14 +85,14 @@
         Server_(
             Io, Settings.HttpLimits_,
             [this](framework::http::Exchange &Call) { Api_.handle(Call); },
-            api::faultReply) {
+            api::errorResponse) {
     State_.Send_ = [this](const membership::MemberId &To,
                           const peers::Message &Body) { send(To, Body); };
     Config_.onChanges([this](const std::vector<config::Change> &Changes) {
       for (const config::Change &Item : Changes)
         applyChange(State_, Item);
       Placements_.refresh();
-      Api_.changed();
+      Api_.notifyWatchers();
     });
     Config_.onView([this](const membership::View &Next) {
       Membership_.adopt(Next);
@@ -113,7 +113,7 @@
 
   void send(const membership::MemberId &To, const peers::Message &Body) {
     const std::string Address = addressOf(To);
-    if (Address.empty() || (PathOpen_ && !PathOpen_(To.Name_)))
+    if (Address.empty() || (PeerAllowed_ && !PeerAllowed_(To.Name_)))
       return;
     const bool Seed = To.Name_.str().starts_with('@');
     const membership::MemberId Recipient = Seed ? membership::MemberId() : To;
@@ -127,7 +127,7 @@
   }
 
   void receive(const peers::Sender &From, peers::Message &&Body) {
-    if (PathOpen_ && !PathOpen_(From.Id_.Name_))
+    if (PeerAllowed_ && !PeerAllowed_(From.Id_.Name_))
       return;
     if (!State_.Peers_.contains(From.Id_))
       State_.Peers_[From.Id_].Address_ = From.Address_;
@@ -188,7 +188,7 @@
     while (!State_.Started_) {
       State_.Started_ = State_.Config_.revision().value() > 0 &&
                         State_.View_.Number_.value() > 0;
-      sleepFor(CheckEvery);
+      sleepFor(PollInterval);
     }
     framework::log::info("entry.started")
         .field("view", State_.View_.Number_.value())
@@ -199,8 +199,8 @@
   /// and go, and at the design size a third of the resident memory was free.
   void trimLoop() {
     while (true) {
-      sleepFor(TrimEvery);
-      if (mallinfo2().fordblks > TrimAbove)
+      sleepFor(HeapTrimInterval);
+      if (mallinfo2().fordblks > HeapTrimThreshold)
         malloc_trim(0);
     }
   }
@@ -220,16 +220,16 @@
   api::ApiContext Context_;
   api::HttpApi Api_;
   framework::http::Server Server_;
-  PathFilter PathOpen_;
+  PeerFilter PeerAllowed_;
 };
 
 EntryApp::EntryApp(boost::asio::io_context &Io, EntrySettings Settings)
-    : Parts_(std::make_unique<Parts>(Io, std::move(Settings))) {}
+    : Impl_(std::make_unique<Impl>(Io, std::move(Settings))) {}
 
 EntryApp::~EntryApp() = default;
 
 absl::Status EntryApp::start() {
-  Parts &P = *Parts_;
+  Impl &P = *Impl_;
   const EntrySettings &Settings = P.State_.Settings_;
   if (absl::Status Bound =
           P.Mesh_.bind(Settings.PeerListen_, Settings.PeerListen_);
@@ -250,21 +250,21 @@
   return absl::OkStatus();
 }
 
-std::uint16_t EntryApp::httpPort() const { return Parts_->Server_.port(); }
+std::uint16_t EntryApp::httpPort() const { return Impl_->Server_.port(); }
 std::uint16_t EntryApp::peerPort() const {
-  return Parts_->Mesh_.advertised().Port_;
+  return Impl_->Mesh_.advertised().Port_;
 }
 
 bool EntryApp::stop() {
-  Parts &P = *Parts_;
+  Impl &P = *Impl_;
   framework::log::info("entry.leaving")
       .field("in_flight", static_cast<std::uint64_t>(P.Runner_.inFlight()));
   P.State_.Leaving_ = true;
-  P.Api_.changed();
-  const auto Deadline = P.State_.now() + DrainTime;
+  P.Api_.notifyWatchers();
+  const auto Deadline = P.State_.now() + DrainTimeout;
   while (P.Runner_.inFlight() > 0 && P.State_.now() < Deadline)
-    sleepFor(CheckEvery);
-  P.Membership_.leave(P.State_.now() + HandoverTime);
+    sleepFor(PollInterval);
+  P.Membership_.leave(P.State_.now() + HandoverTimeout);
   P.Server_.stopAccepting();
   const bool Clean = P.Runner_.inFlight() == 0;
   framework::log::info("entry.stopped")
@@ -273,10 +273,10 @@
   return Clean;
 }
 
-void EntryApp::setPathFilter(PathFilter Open) {
-  Parts_->PathOpen_ = std::move(Open);
+void EntryApp::setPeerFilter(PeerFilter IsAllowed) {
+  Impl_->PeerAllowed_ = std::move(IsAllowed);
 }
 
-std::string EntryApp::dump() const { return Parts_->Api_.dump(); }
+std::string EntryApp::dump() const { return Impl_->Api_.dump(); }
 
 } // namespace laburnumspread::app
--- a/src/app/laburnumspreadd.cpp
+++ b/src/app/laburnumspreadd.cpp
@@ -21,15 +21,15 @@
 using namespace laburnumspread;
 
 constexpr int BadSettings = 2;
-constexpr int CannotStart = 1;
+constexpr int StartFailure = 1;
 /// A process that is killed loses the lines of this time at the most.
-constexpr auto LogFlushEvery = std::chrono::milliseconds(50);
+constexpr auto LogFlushInterval = std::chrono::milliseconds(50);
 /// A settings file that changes without a signal is taken up after this at the
 /// most; a look reads a page.
-constexpr auto SettingsLookEvery = std::chrono::seconds(2);
+constexpr auto SettingsPollInterval = std::chrono::seconds(2);
 
 /// A settings file that cannot be used leaves the old settings in force.
-void keepSettings(const absl::Status &Reason) {
+void reportRejectedSettings(const absl::Status &Reason) {
   framework::log::error("settings.kept")
       .field("reason", std::string(Reason.message()));
 }
@@ -63,7 +63,7 @@
     const std::function<void()> &Reload) {
   framework::fibers::spawn([Watch, Reload] {
     while (true) {
-      framework::fibers::sleepFor(SettingsLookEvery);
+      framework::fibers::sleepFor(SettingsPollInterval);
       if (Watch->changed())
         Reload();
     }
@@ -72,13 +72,14 @@
 
 /// Serves until SIGTERM or SIGINT. \p Stop tells whether the end was clean.
 template <typename App>
-int serveUntilTold(boost::asio::io_context &Io, App &Served,
-                   const std::string &File, const std::function<void()> &Reload,
-                   const std::function<bool()> &Stop) {
+int serveUntilSignal(boost::asio::io_context &Io, App &Served,
+                     const std::string &File,
+                     const std::function<void()> &Reload,
+                     const std::function<bool()> &Stop) {
   framework::fibers::spawn([] {
     while (true) {
       framework::log::flush();
-      framework::fibers::sleepFor(LogFlushEvery);
+      framework::fibers::sleepFor(LogFlushInterval);
     }
   });
   boost::asio::signal_set Dump(Io, SIGUSR1);
@@ -90,12 +91,12 @@
     Reload();
   });
   reloadOnChange(Watch, Reload);
-  framework::fibers::Waiter Told;
+  framework::fibers::Waiter StopSignal;
   boost::asio::signal_set Signals(Io, SIGTERM, SIGINT);
-  Signals.async_wait([&Told](const auto &, int) { Told.signal(); });
-  while (!Told.signalled())
-    Told.waitUntil(framework::clock::SystemClock().now() +
-                   std::chrono::hours(24));
+  Signals.async_wait([&StopSignal](const auto &, int) { StopSignal.signal(); });
+  while (!StopSignal.signalled())
+    StopSignal.waitUntil(framework::clock::SystemClock().now() +
+                         std::chrono::hours(24));
   const bool Clean = Stop();
   framework::log::flush();
   std::cout.flush();
@@ -104,11 +105,11 @@
   std::_Exit(Clean ? 0 : 1);
 }
 
-int cannotStart(const absl::Status &Reason) {
+int reportStartFailure(const absl::Status &Reason) {
   framework::log::error("entry.cannot_start")
       .field("reason", std::string(Reason.message()));
   framework::log::flush();
-  return CannotStart;
+  return StartFailure;
 }
 
 int serve(const entry::EntrySettings &Settings, const std::string &File) {
@@ -117,19 +118,19 @@
   framework::fibers::useAsioScheduler(Io);
   app::EntryApp App(Io, Settings);
   if (absl::Status Started = App.start(); !Started.ok())
-    return cannotStart(Started);
+    return reportStartFailure(Started);
   framework::log::info("entry.listening")
       .field("entry", Settings.Name_.str())
       .field("http_port", App.httpPort())
       .field("peer_port", App.peerPort());
   const auto Reload = [File] {
-    const auto Fresh = entry::loadSettings(File);
-    if (!Fresh.ok())
-      return keepSettings(Fresh.status());
-    framework::log::setLevel(Fresh->LogLevel_);
+    const auto NewSettings = entry::loadSettings(File);
+    if (!NewSettings.ok())
+      return reportRejectedSettings(NewSettings.status());
+    framework::log::setLevel(NewSettings->LogLevel_);
     framework::log::info("settings.reloaded").field("file", File);
   };
-  return serveUntilTold(Io, App, File, Reload, [&App] { return App.stop(); });
+  return serveUntilSignal(Io, App, File, Reload, [&App] { return App.stop(); });
 }
 
 int serveCell(const cell::CellSettings &Settings, const std::string &File) {
@@ -138,17 +139,17 @@
   framework::fibers::useAsioScheduler(Io);
   app::CellApp App(Io, Settings);
   if (absl::Status Started = App.start(); !Started.ok())
-    return cannotStart(Started);
+    return reportStartFailure(Started);
   framework::log::info("entry.listening")
       .field("entry", Settings.Name_.str())
       .field("callers", Settings.Callers_.str());
   const auto Reload = [File, &App] {
-    const auto Fresh = cell::loadCellSettings(File);
-    if (!Fresh.ok())
-      return keepSettings(Fresh.status());
-    App.reload(*Fresh);
+    const auto NewSettings = cell::loadCellSettings(File);
+    if (!NewSettings.ok())
+      return reportRejectedSettings(NewSettings.status());
+    App.reload(*NewSettings);
   };
-  return serveUntilTold(Io, App, File, Reload, [&App] {
+  return serveUntilSignal(Io, App, File, Reload, [&App] {
     App.stop();
     return true;
   });
@@ -181,7 +182,7 @@
 
 } // namespace
 
-int main(int Count, char **Words) {
+int main(int ArgumentCount, char **Arguments) {
   std::signal(SIGPIPE, SIG_IGN);
   cxxopts::Options Options("laburnumspreadd",
                            "One entry of a laburnumspread fleet");
@@ -189,17 +190,17 @@
                         cxxopts::value<std::string>())(
       "check", "only check the settings")("help", "help");
   try {
-    const auto Given = Options.parse(Count, Words);
-    if (Given.count("help")) {
+    const auto Parsed = Options.parse(ArgumentCount, Arguments);
+    if (Parsed.count("help")) {
       std::cout << Options.help() << '\n';
       return 0;
     }
-    if (!Given.count("config")) {
+    if (!Parsed.count("config")) {
       std::cerr << "laburnumspreadd: --config is required\n";
       return BadSettings;
     }
-    const std::string File = Given["config"].as<std::string>();
-    const bool OnlyCheck = Given.count("check") > 0;
+    const std::string File = Parsed["config"].as<std::string>();
+    const bool OnlyCheck = Parsed.count("check") > 0;
     if (isCell(File))
       return checkOrServe<cell::CellSettings>(
           cell::loadCellSettings(File), OnlyCheck,
--- a/src/app/tests/cluster.h
+++ b/src/app/tests/cluster.h
@@ -29,7 +29,7 @@
 /// for conditions; their generous bounds only end a test that is lost.
 class Cluster {
 public:
-  static constexpr auto Patience = std::chrono::seconds(60);
+  static constexpr auto WaitTimeout = std::chrono::seconds(60);
   static constexpr const char *Operator = "operator-secret";
   static constexpr const char *Caller = "caller-secret";
 
@@ -47,13 +47,13 @@
 
   EntryApp &addEntry() {
     const int Index = static_cast<int>(Entries_.size());
-    Controls_.push_back(*Platform_.addControl({"127.0.0.1", 0}));
+    ControlPorts_.push_back(*Platform_.addControl({"127.0.0.1", 0}));
     entry::EntrySettings Settings;
     Settings.Name_ = fleet::EntryName("e" + std::to_string(Index));
     Settings.Vm_ = fleet::VmName("entry-vm-" + std::to_string(Index));
     Settings.Zone_ = fleet::ZoneName("z" + std::to_string(Index % 3));
     Settings.HttpListen_ = Settings.PeerListen_ = {"127.0.0.1", 0};
-    Settings.StoreEndpoints_ = {{"127.0.0.1", Controls_.back()}};
+    Settings.StoreEndpoints_ = {{"127.0.0.1", ControlPorts_.back()}};
     Settings.Platform_ = Settings.StoreEndpoints_[0];
     Settings.StorePrefix_ = "/l/";
     Settings.PeerKeys_ = Keys_;
@@ -114,7 +114,7 @@
     for (const auto &Field : More.all())
       Message.Headers_.add(Field.Name_, Field.Value_);
     Message.Body_ = Body;
-    const auto Answer = Client.exchange(Message, later());
+    const auto Answer = Client.exchange(Message, deadline());
     return Answer.ok() ? *Answer : framework::http::Response();
   }
 
@@ -153,18 +153,18 @@
   void isolate(int Entry, bool Store) {
     for (std::size_t I = 0; I < Entries_.size(); ++I)
       if (static_cast<int>(I) == Entry)
-        Entries_[I]->setPathFilter([](const auto &) { return false; });
+        Entries_[I]->setPeerFilter([](const auto &) { return false; });
       else
-        Entries_[I]->setPathFilter([Entry](const fleet::EntryName &Name) {
+        Entries_[I]->setPeerFilter([Entry](const fleet::EntryName &Name) {
           return Name.str() != "e" + std::to_string(Entry);
         });
-    Platform_.cutControl(Controls_[Entry], Store);
+    Platform_.cutControl(ControlPorts_[Entry], Store);
   }
 
   void heal(int Entry) {
     for (EntryApp *Item : Entries_)
-      Item->setPathFilter(nullptr);
-    Platform_.cutControl(Controls_[Entry], false);
+      Item->setPeerFilter(nullptr);
+    Platform_.cutControl(ControlPorts_[Entry], false);
   }
 
   /// Whether every entry serves and is in touch with all others.
@@ -181,7 +181,7 @@
   }
 
   template <typename Condition> static bool waitFor(Condition &&Holds) {
-    const auto End = framework::clock::SystemClock().now() + Patience;
+    const auto End = framework::clock::SystemClock().now() + WaitTimeout;
     while (!Holds()) {
       if (framework::clock::SystemClock().now() > End)
         return false;
@@ -190,15 +190,15 @@
     return true;
   }
 
-  static framework::clock::TimePoint later() {
-    return framework::clock::SystemClock().now() + Patience;
+  static framework::clock::TimePoint deadline() {
+    return framework::clock::SystemClock().now() + WaitTimeout;
   }
 
   // Fibers of entries and platform run until the process ends, so these are
   // never destroyed.
   standin::Platform &Platform_ = *new standin::Platform(sharedIo(), {});
   std::vector<EntryApp *> Entries_;
-  std::vector<std::uint16_t> Controls_;
+  std::vector<std::uint16_t> ControlPorts_;
   std::vector<std::uint16_t> EndpointPorts_;
   peers::PeerKeys Keys_ = peers::generatePeerKeys();
 };
--- a/src/app/tests/fleettest.cpp
+++ b/src/app/tests/fleettest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-Headers onceWith(const std::string &Key) {
+Headers nonRepeatable(const std::string &Key) {
   Headers Fields;
   Fields.add("Repeatable", "?0");
   Fields.add("Idempotency-Key", Key);
@@ -23,7 +23,7 @@
 // An operator withdraws a key at one entry while another is cut off from the
 // store and from everybody. The callers of that one hear "not-run" although it
 // has never learned of the withdrawal, and it serves again when it is back.
-BOOST_AUTO_TEST_CASE(EntryThatIsCutOffFailsClosed) {
+BOOST_AUTO_TEST_CASE(IsolatedEntryFailsClosed) {
   Cluster Fleet(3);
   Fleet.declareFleet();
   Fleet.isolate(2, true);
@@ -39,7 +39,7 @@
 
 // The store is down for everybody. Nothing can be withdrawn then, so work goes
 // on, also at an entry that starts meanwhile and knows all from its peers.
-BOOST_AUTO_TEST_CASE(WorkGoesOnWhenEverybodyHasLostTheStore) {
+BOOST_AUTO_TEST_CASE(RequestsAreServedDuringAStoreOutage) {
   Cluster Fleet(3);
   Fleet.declareFleet();
   Fleet.Platform_.faults().StoreDown_ = true;
@@ -59,7 +59,7 @@
 // One order reaches all entries at the same moment, as a caller that retries
 // through a balancer can make it. It runs once, and every caller gets either
 // its answer or the truth.
-BOOST_AUTO_TEST_CASE(OneKeySentToAllEntriesAtOnceRunsOnce) {
+BOOST_AUTO_TEST_CASE(SameKeySentToAllEntriesRunsOnce) {
   Cluster Fleet(4);
   Fleet.declareFleet();
   const std::string Key = ctl::newIdempotencyKey();
@@ -68,11 +68,11 @@
   for (int I = 0; I < 8; ++I)
     framework::fibers::spawn([&, I] {
       Answers.push_back(
-          Fleet.submit(I % 4, onceWith(Key), R"({"workMs": 50})"));
+          Fleet.submit(I % 4, nonRepeatable(Key), R"({"workMs": 50})"));
       if (Answers.size() == 8)
         Done.signal();
     });
-  BOOST_REQUIRE(Done.waitUntil(Cluster::later()));
+  BOOST_REQUIRE(Done.waitUntil(Cluster::deadline()));
   BOOST_TEST(Fleet.Platform_.ledger().StartsByKey_["caterers/" + Key] == 1u);
   int Replayed = 0, Ran = 0;
   for (const Response &Answer : Answers) {
@@ -88,24 +88,25 @@
   Cluster Fleet(1);
   Fleet.declareFleet();
   const std::string Key = ctl::newIdempotencyKey();
-  BOOST_TEST(Fleet.submit(0, onceWith(Key), "{\"a\": 1}").Status_ == 200);
-  BOOST_TEST(Cluster::codeOf(Fleet.submit(0, onceWith(Key), "{\"a\": 2}")) ==
-             "idempotency-key-reused");
+  BOOST_TEST(Fleet.submit(0, nonRepeatable(Key), "{\"a\": 1}").Status_ == 200);
+  BOOST_TEST(
+      Cluster::codeOf(Fleet.submit(0, nonRepeatable(Key), "{\"a\": 2}")) ==
+      "idempotency-key-reused");
   BOOST_TEST(Fleet.Platform_.ledger().StartsByKey_["caterers/" + Key] == 1u);
 }
 
 // The endpoint takes the order, does the work and its answer is cut. Nobody
 // can know from here whether it ran; a second try with the key must not run.
-BOOST_AUTO_TEST_CASE(TruncatedAnswerIsUnknownAndIsNotSentAgain) {
+BOOST_AUTO_TEST_CASE(TruncatedResponseIsUnknownAndNotRetried) {
   Cluster Fleet(3, 1);
   Fleet.declareFleet();
   Fleet.Platform_.faults().Endpoints_[Cluster::vmName(0)].Mode_ =
       standin::EndpointMode::Truncate;
   const std::string Key = ctl::newIdempotencyKey();
-  const Response First = Fleet.submit(0, onceWith(Key));
+  const Response First = Fleet.submit(0, nonRepeatable(Key));
   BOOST_TEST(Cluster::outcomeOf(First) == "unknown");
   Fleet.Platform_.faults().Endpoints_.clear();
-  const Response Second = Fleet.submit(1, onceWith(Key));
+  const Response Second = Fleet.submit(1, nonRepeatable(Key));
   BOOST_TEST(Cluster::outcomeOf(Second) == "unknown");
   BOOST_TEST(Cluster::codeOf(Second) == "outcome-unknown");
   BOOST_TEST(Fleet.Platform_.ledger().StartsByKey_["caterers/" + Key] == 1u);
@@ -113,7 +114,7 @@
 
 // A repeatable request meets the same fault and is tried elsewhere, so its
 // caller sees one whole answer.
-BOOST_AUTO_TEST_CASE(RepeatableRequestIsTriedElsewhere) {
+BOOST_AUTO_TEST_CASE(RepeatableRequestIsRetriedOnAnotherEndpoint) {
   Cluster Fleet(1, 2);
   Fleet.declareFleet();
   Fleet.Platform_.faults().Endpoints_[Cluster::vmName(0)].Mode_ =
@@ -127,7 +128,7 @@
 
 // The whole limit is wanted at one entry, which owns a third of it. The rest
 // is borrowed; never more than the limit runs.
-BOOST_AUTO_TEST_CASE(LimitIsReachedAndNeverPassedFromOneEntry) {
+BOOST_AUTO_TEST_CASE(LimitIsReachedButNotExceededFromOneEntry) {
   Cluster Fleet(3);
   Fleet.declareFleet(10);
   std::size_t Answered = 0;
@@ -140,13 +141,13 @@
       if (++Answered == Requests)
         Done.signal();
     });
-  BOOST_REQUIRE(Done.waitUntil(Cluster::later()));
+  BOOST_REQUIRE(Done.waitUntil(Cluster::deadline()));
   BOOST_TEST(Fleet.Platform_.ledger().MostByTeam_["caterers"] == 10);
 }
 
 // The store loses what it had accepted: it comes back from a backup that was
 // made before a key was withdrawn. Taking it would bring the key back.
-BOOST_AUTO_TEST_CASE(StoreFromABackupBringsNoKeyBack) {
+BOOST_AUTO_TEST_CASE(StoreBackupDoesNotRestoreAWithdrawnKey) {
   Cluster Fleet(2);
   Fleet.declareFleet();
   Fleet.Platform_.store().state().save();
@@ -162,21 +163,21 @@
   BOOST_TEST(Cluster::codeOf(Fleet.submit(1)) == "unknown-key");
 }
 
-BOOST_AUTO_TEST_CASE(LeavingEntryHandsOverAndIsGoneFromTheView) {
+BOOST_AUTO_TEST_CASE(StoppedEntryHandsOverAndLeavesTheView) {
   Cluster Fleet(3);
   Fleet.declareFleet();
   const std::string Key = ctl::newIdempotencyKey();
-  BOOST_REQUIRE_EQUAL(Fleet.submit(2, onceWith(Key)).Status_, 200);
+  BOOST_REQUIRE_EQUAL(Fleet.submit(2, nonRepeatable(Key)).Status_, 200);
   BOOST_TEST(Fleet.Entries_[2]->stop());
   BOOST_TEST(Cluster::waitFor([&] { return Fleet.members() == 2; }));
-  const Response Again = Fleet.submit(0, onceWith(Key));
+  const Response Again = Fleet.submit(0, nonRepeatable(Key));
   BOOST_TEST(Cluster::outcomeOf(Again) == "ran");
   BOOST_TEST(Fleet.Platform_.ledger().StartsByKey_["caterers/" + Key] == 1u);
 }
 
 // A VM leaves under load: no request is cut, and the drain is told as done
 // only when every entry has acknowledged it and runs nothing there.
-BOOST_AUTO_TEST_CASE(DrainCutsNothing) {
+BOOST_AUTO_TEST_CASE(DrainDoesNotInterruptRequests) {
   Cluster Fleet(3);
   Fleet.declareFleet();
   bool Stop = false;
@@ -206,5 +207,5 @@
   BOOST_TEST(Fleet.Platform_.ledger().StartsByVm_[Cluster::vmName(0)] ==
              Starts);
   Stop = true;
-  BOOST_TEST(Done.waitUntil(Cluster::later()));
+  BOOST_TEST(Done.waitUntil(Cluster::deadline()));
 }
--- a/src/app/tests/interfacetest.cpp
+++ b/src/app/tests/interfacetest.cpp
@@ -17,23 +17,23 @@
 namespace {
 
 /// One entry with a declared fleet, shared by the cases that change nothing.
-Cluster &shared() {
+Cluster &sharedCluster() {
   static Cluster &Fleet = *[] {
-    auto *Made = new Cluster(1, 2);
-    Made->declareFleet();
-    return Made;
+    auto *Instance = new Cluster(1, 2);
+    Instance->declareFleet();
+    return Instance;
   }();
   return Fleet;
 }
 
-Headers field(const std::string &Name, const std::string &Value) {
+Headers singleHeader(const std::string &Name, const std::string &Value) {
   Headers Fields;
   Fields.add(Name, Value);
   return Fields;
 }
 
-Headers onceWith(const std::string &Key) {
-  Headers Fields = field("Repeatable", "?0");
+Headers nonRepeatable(const std::string &Key) {
+  Headers Fields = singleHeader("Repeatable", "?0");
   Fields.add("Idempotency-Key", Key);
   return Fields;
 }
@@ -67,8 +67,8 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(BadFieldsAreRefusedWithACodeAndNothingRuns) {
-  Cluster &Fleet = shared();
+BOOST_AUTO_TEST_CASE(InvalidHeadersAreRefusedWithACodeAndNothingRuns) {
+  Cluster &Fleet = sharedCluster();
   const auto Started = Fleet.Platform_.ledger().Started_;
   const auto Now = framework::clock::SystemClock().now();
   auto CodeWith = [&](const Headers &Fields) {
@@ -76,25 +76,31 @@
     BOOST_TEST(Cluster::outcomeOf(Answer) == "not-run");
     return Cluster::codeOf(Answer);
   };
-  BOOST_TEST(CodeWith(field("Repeatable", "perhaps")) == "bad-request");
-  BOOST_TEST(CodeWith(field("Repeatable", "?0")) == "missing-idempotency-key");
-  BOOST_TEST(CodeWith(onceWith("tiffin")) == "malformed-idempotency-key");
-  BOOST_TEST(CodeWith(onceWith(uuidMintedAt(Now - std::chrono::hours(1)))) ==
-             "idempotency-key-too-old");
-  BOOST_TEST(CodeWith(onceWith(uuidMintedAt(Now + std::chrono::hours(1)))) ==
-             "idempotency-key-from-the-future");
-  BOOST_TEST(CodeWith(field("Request-Deadline", "1000")) == "deadline-passed");
-  BOOST_TEST(CodeWith(field("Request-Deadline", "soon")) == "bad-request");
-  BOOST_TEST(CodeWith(field("Request-Deadline", "99999999999999999")) ==
+  BOOST_TEST(CodeWith(singleHeader("Repeatable", "perhaps")) == "bad-request");
+  BOOST_TEST(CodeWith(singleHeader("Repeatable", "?0")) ==
+             "missing-idempotency-key");
+  BOOST_TEST(CodeWith(nonRepeatable("tiffin")) == "malformed-idempotency-key");
+  BOOST_TEST(CodeWith(nonRepeatable(uuidMintedAt(
+                 Now - std::chrono::hours(1)))) == "idempotency-key-too-old");
+  BOOST_TEST(
+      CodeWith(nonRepeatable(uuidMintedAt(Now + std::chrono::hours(1)))) ==
+      "idempotency-key-from-the-future");
+  BOOST_TEST(CodeWith(singleHeader("Request-Deadline", "1000")) ==
+             "deadline-passed");
+  BOOST_TEST(CodeWith(singleHeader("Request-Deadline", "soon")) ==
+             "bad-request");
+  BOOST_TEST(CodeWith(singleHeader("Request-Deadline", "99999999999999999")) ==
+             "bad-request");
+  BOOST_TEST(CodeWith(singleHeader("Request-Class", "royal")) == "bad-request");
+  BOOST_TEST(CodeWith(singleHeader("Request-Size", "cpus=many")) ==
              "bad-request");
-  BOOST_TEST(CodeWith(field("Request-Class", "royal")) == "bad-request");
-  BOOST_TEST(CodeWith(field("Request-Size", "cpus=many")) == "bad-request");
-  BOOST_TEST(CodeWith(field("Request-Size", "accelerators=1")) == "never-fits");
+  BOOST_TEST(CodeWith(singleHeader("Request-Size", "accelerators=1")) ==
+             "never-fits");
   BOOST_TEST(Fleet.Platform_.ledger().Started_ == Started);
 }
 
 BOOST_AUTO_TEST_CASE(KeysPoolsAndMethodsAreChecked) {
-  Cluster &Fleet = shared();
+  Cluster &Fleet = sharedCluster();
   const std::string Target = "/v1/pools/orders/requests";
   BOOST_TEST(Cluster::codeOf(Fleet.call(0, "POST", Target, "{}", "")) ==
              "missing-key");
@@ -111,8 +117,8 @@
 
 // Callers that send rubbish, too much, or too slowly hear why; nobody finds a
 // closed socket without a word, and others are served meanwhile.
-BOOST_AUTO_TEST_CASE(BrokenCallersAreToldWhy) {
-  Cluster &Fleet = shared();
+BOOST_AUTO_TEST_CASE(MalformedRequestsGetAnErrorResponse) {
+  Cluster &Fleet = sharedCluster();
   const std::uint16_t Port = Fleet.Entries_[0]->httpPort();
   BOOST_TEST(rawExchange(Port, "RUBBISH\r\n\r\n").starts_with("HTTP/1.1 400"));
   BOOST_TEST(rawExchange(Port, "POST / HTTP/1.1\r\nX: " +
@@ -132,8 +138,8 @@
   BOOST_TEST(Fleet.submit(0).Status_ == 200);
 }
 
-BOOST_AUTO_TEST_CASE(LargeBodiesStreamThrough) {
-  Cluster &Fleet = shared();
+BOOST_AUTO_TEST_CASE(LargeBodiesAreStreamed) {
+  Cluster &Fleet = sharedCluster();
   const std::string Body(3 * 1024 * 1024, 'm');
   const auto Answer = Fleet.submit(0, {}, Body);
   BOOST_TEST(Answer.Status_ == 200);
@@ -142,7 +148,7 @@
 
 // An endpoint sends more than the limit. The caller must not take the part for
 // the whole: the connection breaks before the announced end.
-BOOST_AUTO_TEST_CASE(OversizedAnswerIsNeverShownAsWhole) {
+BOOST_AUTO_TEST_CASE(OversizedResponseIsNotDeliveredAsComplete) {
   Cluster Fleet(1, 1);
   Fleet.declareFleet();
   Fleet.Platform_.faults().Endpoints_[Cluster::vmName(0)].Mode_ =
@@ -150,17 +156,17 @@
   BOOST_TEST(Fleet.submit(0).Status_ == 0);
 }
 
-BOOST_AUTO_TEST_CASE(RacingOperatorsGetAConflictWithTheVersion) {
-  Cluster &Fleet = shared();
+BOOST_AUTO_TEST_CASE(StaleIfMatchIsRefusedWithConflict) {
+  Cluster &Fleet = sharedCluster();
   const auto First =
       boost::json::parse(Fleet.put("teams", "racers", R"({"limit": 1})").Body_);
   const std::string Version(
       First.at("metadata").at("resourceVersion").as_string());
   Fleet.put("teams", "racers", R"({"limit": 2})");
-  const auto Lost =
-      Fleet.call(0, "PUT", "/v1/teams/racers",
-                 R"({"metadata": {"name": "racers"}, "spec": {"limit": 3}})",
-                 Cluster::Operator, field("If-Match", "\"" + Version + "\""));
+  const auto Lost = Fleet.call(
+      0, "PUT", "/v1/teams/racers",
+      R"({"metadata": {"name": "racers"}, "spec": {"limit": 3}})",
+      Cluster::Operator, singleHeader("If-Match", "\"" + Version + "\""));
   BOOST_TEST(Lost.Status_ == 409);
   BOOST_TEST(Cluster::codeOf(Lost) == "conflict");
   const auto Now =
@@ -168,8 +174,8 @@
   BOOST_TEST(Now.at("spec").at("limit").to_number<int>() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(BadDeclarationsNameFieldAndReason) {
-  Cluster &Fleet = shared();
+BOOST_AUTO_TEST_CASE(InvalidObjectsAreRefusedWithFieldAndReason) {
+  Cluster &Fleet = sharedCluster();
   auto DetailOf = [&](const std::string &Target, const std::string &Body) {
     const auto Answer = Fleet.call(0, "PUT", Target, Body);
     BOOST_TEST(Answer.Status_ >= 400);
@@ -193,8 +199,8 @@
   BOOST_TEST(Fleet.call(0, "GET", "/v1/teams/dry").Status_ == 404);
 }
 
-BOOST_AUTO_TEST_CASE(WatchersSeeChangesAndAreToldWhenTheyAreTooLate) {
-  Cluster &Fleet = shared();
+BOOST_AUTO_TEST_CASE(WatchersReceiveChangesAndExpiredVersionsGet410) {
+  Cluster &Fleet = sharedCluster();
   const auto List = boost::json::parse(Fleet.call(0, "GET", "/v1/teams").Body_);
   const std::string Since(
       List.at("metadata").at("resourceVersion").as_string());
@@ -210,7 +216,7 @@
   std::string Seen;
   Client
       .stream(
-          Watch, Cluster::later(), [] { return Cluster::later(); },
+          Watch, Cluster::deadline(), [] { return Cluster::deadline(); },
           [](const auto &) { return true; },
           [&](std::string_view Part) {
             Seen += Part;
@@ -226,7 +232,7 @@
 
 // The caller goes away while its request waits. The request leaves the queue;
 // its slot and permit serve others.
-BOOST_AUTO_TEST_CASE(ClosingTheConnectionCancels) {
+BOOST_AUTO_TEST_CASE(ClosingTheConnectionCancelsTheRequest) {
   Cluster Fleet(1, 1);
   Fleet.declareFleet(1);
   const std::uint16_t Port = Fleet.Entries_[0]->httpPort();
--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -7,7 +7,7 @@
 
 /// Runs one command and writes its output. Nothing is sent when the command
 /// line is wrong.
-ExitCode runCommand(boost::asio::io_context &Io, const Command &Given);
+ExitCode runCommand(boost::asio::io_context &Io, const Command &Cmd);
 
 /// A new idempotency key: a UUID of version 7 of this moment.
 std::string newIdempotencyKey();
--- a/src/ctl/ctltypes.h
+++ b/src/ctl/ctltypes.h
@@ -31,7 +31,7 @@
 /// What was given on the command line.
 struct Command {
   std::string Verb_;
-  std::vector<std::string> Words_;
+  std::vector<std::string> Arguments_;
   std::vector<framework::http::Address> Servers_;
   std::string Key_;
   std::string File_;
--- a/src/ctl/internal/commands.cpp
+++ b/src/ctl/internal/commands.cpp
@@ -1,6 +1,6 @@
 #include "ctl/commands.h"
 
-#include "ctl/internal/following.h"
+#include "ctl/internal/progress.h"
 #include "ctl/internal/reporting.h"
 #include "ctl/table.h"
 #include "fleet/resourcejson.h"
@@ -27,9 +27,9 @@
 
 constexpr std::size_t SecretBytes = 24;
 
-void print(const Command &Given, const std::string &Kind,
-           const json::value &Value) {
-  if (Given.Output_ == Output::Json)
+void printObjects(const Command &Cmd, const std::string &Kind,
+                  const json::value &Value) {
+  if (Cmd.Output_ == Output::Json)
     std::cout << json::serialize(Value) << '\n';
   else
     std::cout << tableOf(Kind, Value);
@@ -64,7 +64,7 @@
 }
 
 /// Checks an object as far as that goes without a server.
-std::string faultsOf(const json::value &Object) {
+std::string validationErrors(const json::value &Object) {
   const auto Kind = fleet::kindNamed(textAt(Object, "kind"));
   if (!Kind)
     return "kind: must be one of pools vms teams keys waves";
@@ -90,24 +90,25 @@
 }
 
 /// Reads and checks the file of -f; says on the standard error what is wrong.
-absl::StatusOr<std::vector<json::value>> checkedObjects(const Command &Given) {
-  auto Objects = readObjects(Given.File_);
+absl::StatusOr<std::vector<json::value>> readValidObjects(const Command &Cmd) {
+  auto Objects = readObjects(Cmd.File_);
   if (!Objects.ok())
     return Objects;
-  std::string Faults;
+  std::string Errors;
   for (const json::value &Object : *Objects)
-    if (const std::string Text = faultsOf(Object); !Text.empty())
-      Faults += "\n  " + Given.File_ + ": " + textAt(Object, "kind") + "/" +
+    if (const std::string Text = validationErrors(Object); !Text.empty())
+      Errors += "\n  " + Cmd.File_ + ": " + textAt(Object, "kind") + "/" +
                 textAt(Object, "metadata.name") + ": " + Text;
-  if (!Faults.empty())
-    return absl::InvalidArgumentError("not applied:" + Faults);
+  if (!Errors.empty())
+    return absl::InvalidArgumentError("not applied:" + Errors);
   return Objects;
 }
 
-ExitCode validate(const Command &Given) {
-  const auto Objects = checkedObjects(Given);
+ExitCode validate(const Command &Cmd) {
+  const auto Objects = readValidObjects(Cmd);
   if (!Objects.ok())
-    return complain(ExitCode::Usage, std::string(Objects.status().message()));
+    return reportError(ExitCode::Usage,
+                       std::string(Objects.status().message()));
   std::cout << Objects->size() << " objects are valid\n";
   return ExitCode::Ok;
 }
@@ -119,27 +120,29 @@
     if (Answer.ok() &&
         Answer->Text_.find("\"AllEntries\"") != std::string::npos)
       return ExitCode::Ok;
-    framework::fibers::sleepFor(PollEvery);
+    framework::fibers::sleepFor(PollInterval);
   }
-  return complain(ExitCode::TimedOut, Target + ": not in force everywhere yet");
+  return reportError(ExitCode::TimedOut,
+                     Target + ": not in force everywhere yet");
 }
 
-ExitCode apply(Session &Server, const Command &Given) {
-  const auto Objects = checkedObjects(Given);
+ExitCode apply(Session &Server, const Command &Cmd) {
+  const auto Objects = readValidObjects(Cmd);
   if (!Objects.ok())
-    return complain(ExitCode::Usage, std::string(Objects.status().message()));
+    return reportError(ExitCode::Usage,
+                       std::string(Objects.status().message()));
   ExitCode Worst = ExitCode::Ok;
   std::size_t Changed = 0;
   std::string LastTarget;
   for (const json::value &Object : *Objects) {
     const std::string Target =
         "/v1/" + textAt(Object, "kind") + "/" + textAt(Object, "metadata.name");
-    framework::http::Headers More;
-    if (!Given.IfMatch_.empty())
-      More.add("If-Match", Given.IfMatch_);
+    framework::http::Headers ExtraHeaders;
+    if (!Cmd.IfMatch_.empty())
+      ExtraHeaders.add("If-Match", Cmd.IfMatch_);
     const auto Answer =
-        Server.call("PUT", Target + (Given.DryRun_ ? "?dryRun=true" : ""),
-                    json::serialize(Object), More);
+        Server.call("PUT", Target + (Cmd.DryRun_ ? "?dryRun=true" : ""),
+                    json::serialize(Object), ExtraHeaders);
     if (!Answer.ok())
       return reportUnreachable(Answer.status());
     if (!succeeded(*Answer)) {
@@ -150,26 +153,26 @@
     const bool New = textAt(Answer->Json_, "changed") == "true";
     Changed += New;
     LastTarget = Target;
-    if (Given.Output_ == Output::Json)
+    if (Cmd.Output_ == Output::Json)
       std::cout << Answer->Text_ << '\n';
     else if (New)
       std::cout << Target.substr(4)
-                << (Given.DryRun_ ? " would change\n" : " changed\n");
+                << (Cmd.DryRun_ ? " would change\n" : " changed\n");
   }
-  if (Given.Output_ == Output::Table)
+  if (Cmd.Output_ == Output::Table)
     std::cout << Changed << " of " << Objects->size() << " objects changed\n";
-  if (Given.Wait_ && Worst == ExitCode::Ok && !LastTarget.empty())
+  if (Cmd.Wait_ && Worst == ExitCode::Ok && !LastTarget.empty())
     return waitInForce(Server, LastTarget);
   return Worst;
 }
 
-ExitCode watch(Session &Server, const Command &Given, const std::string &Kind) {
+ExitCode watch(Session &Server, const Command &Cmd, const std::string &Kind) {
   std::string Target = "/v1/" + Kind + "?watch=true";
-  if (!Given.Since_.empty())
-    Target += "&resourceVersion=" + Given.Since_;
+  if (!Cmd.Since_.empty())
+    Target += "&resourceVersion=" + Cmd.Since_;
   const absl::Status Ended =
       Server.stream(Target, [&](const json::value &Line) {
-        if (Given.Output_ == Output::Json) {
+        if (Cmd.Output_ == Output::Json) {
           std::cout << json::serialize(Line) << std::endl;
           return true;
         }
@@ -187,28 +190,29 @@
                     << textAt(Line, "object.metadata.generation") << std::endl;
         return true;
       });
-  return complain(ExitCode::Refused,
-                  "stream ended: " + std::string(Ended.message()));
+  return reportError(ExitCode::Refused,
+                     "stream ended: " + std::string(Ended.message()));
 }
 
-ExitCode get(Session &Server, const Command &Given) {
-  if (Given.Words_.empty())
-    return complain(ExitCode::Usage, "get needs a kind");
-  const std::string &Kind = Given.Words_[0];
-  if (Given.Watch_)
-    return watch(Server, Given, Kind);
+ExitCode get(Session &Server, const Command &Cmd) {
+  if (Cmd.Arguments_.empty())
+    return reportError(ExitCode::Usage, "get needs a kind");
+  const std::string &Kind = Cmd.Arguments_[0];
+  if (Cmd.Watch_)
+    return watch(Server, Cmd, Kind);
   std::string Target = "/v1/" + Kind;
-  if (Given.Words_.size() > 1)
-    Target += "/" + Given.Words_[1];
+  if (Cmd.Arguments_.size() > 1)
+    Target += "/" + Cmd.Arguments_[1];
   const auto Answer = Server.call("GET", Target, "");
   if (!Answer.ok())
     return reportUnreachable(Answer.status());
   if (!succeeded(*Answer))
     return reportRefusal(*Answer);
-  if (Given.Words_.size() > 1 && Kind != "entries")
-    print(Given, Kind, json::object{{"items", json::array{Answer->Json_}}});
+  if (Cmd.Arguments_.size() > 1 && Kind != "entries")
+    printObjects(Cmd, Kind,
+                 json::object{{"items", json::array{Answer->Json_}}});
   else
-    print(Given, Kind, Answer->Json_);
+    printObjects(Cmd, Kind, Answer->Json_);
   return ExitCode::Ok;
 }
 
@@ -237,11 +241,11 @@
   }
 }
 
-ExitCode describe(Session &Server, const Command &Given) {
-  if (Given.Words_.size() != 2)
-    return complain(ExitCode::Usage, "describe needs a kind and a name");
-  const auto Answer =
-      Server.call("GET", "/v1/" + Given.Words_[0] + "/" + Given.Words_[1], "");
+ExitCode describe(Session &Server, const Command &Cmd) {
+  if (Cmd.Arguments_.size() != 2)
+    return reportError(ExitCode::Usage, "describe needs a kind and a name");
+  const auto Answer = Server.call(
+      "GET", "/v1/" + Cmd.Arguments_[0] + "/" + Cmd.Arguments_[1], "");
   if (!Answer.ok())
     return reportUnreachable(Answer.status());
   if (!succeeded(*Answer))
@@ -250,22 +254,22 @@
   return ExitCode::Ok;
 }
 
-ExitCode remove(Session &Server, const Command &Given) {
-  if (Given.Words_.size() != 2)
-    return complain(ExitCode::Usage, "delete needs a kind and a name");
-  framework::http::Headers More;
-  if (!Given.IfMatch_.empty())
-    More.add("If-Match", Given.IfMatch_);
+ExitCode remove(Session &Server, const Command &Cmd) {
+  if (Cmd.Arguments_.size() != 2)
+    return reportError(ExitCode::Usage, "delete needs a kind and a name");
+  framework::http::Headers ExtraHeaders;
+  if (!Cmd.IfMatch_.empty())
+    ExtraHeaders.add("If-Match", Cmd.IfMatch_);
   const auto Answer =
       Server.call("DELETE",
-                  "/v1/" + Given.Words_[0] + "/" + Given.Words_[1] +
-                      (Given.DryRun_ ? "?dryRun=true" : ""),
-                  "", More);
+                  "/v1/" + Cmd.Arguments_[0] + "/" + Cmd.Arguments_[1] +
+                      (Cmd.DryRun_ ? "?dryRun=true" : ""),
+                  "", ExtraHeaders);
   if (!Answer.ok())
     return reportUnreachable(Answer.status());
   if (!succeeded(*Answer))
     return reportRefusal(*Answer);
-  std::cout << Given.Words_[0] << "/" << Given.Words_[1] << " deleted\n";
+  std::cout << Cmd.Arguments_[0] << "/" << Cmd.Arguments_[1] << " deleted\n";
   return ExitCode::Ok;
 }
 
@@ -279,28 +283,30 @@
   return ExitCode::Ok;
 }
 
-ExitCode submit(Session &Server, const Command &Given) {
-  if (Given.Words_.empty())
-    return complain(ExitCode::Usage, "submit needs a pool");
-  framework::http::Headers More;
-  More.add("Request-Deadline",
-           std::to_string(framework::clock::toMillis(SystemClock().now()) +
-                          Given.TimeoutMs_));
-  if (!Given.Class_.empty())
-    More.add("Request-Class", Given.Class_);
-  std::string Key = Given.IdempotencyKey_;
-  if (Given.Once_) {
-    More.add("Repeatable", "?0");
+ExitCode submit(Session &Server, const Command &Cmd) {
+  if (Cmd.Arguments_.empty())
+    return reportError(ExitCode::Usage, "submit needs a pool");
+  framework::http::Headers ExtraHeaders;
+  ExtraHeaders.add(
+      "Request-Deadline",
+      std::to_string(framework::clock::toMillis(SystemClock().now()) +
+                     Cmd.TimeoutMs_));
+  if (!Cmd.Class_.empty())
+    ExtraHeaders.add("Request-Class", Cmd.Class_);
+  std::string Key = Cmd.IdempotencyKey_;
+  if (Cmd.Once_) {
+    ExtraHeaders.add("Repeatable", "?0");
     if (Key.empty())
       Key = newIdempotencyKey();
   }
   if (!Key.empty())
-    More.add("Idempotency-Key", Key);
-  const auto Answer = Server.call(
-      "POST", "/v1/pools/" + Given.Words_[0] + "/requests", Given.Body_, More);
+    ExtraHeaders.add("Idempotency-Key", Key);
+  const auto Answer =
+      Server.call("POST", "/v1/pools/" + Cmd.Arguments_[0] + "/requests",
+                  Cmd.Body_, ExtraHeaders);
   if (!Answer.ok())
     return reportUnreachable(Answer.status());
-  if (Given.Output_ == Output::Json)
+  if (Cmd.Output_ == Output::Json)
     std::cout << json::serialize(json::object{{"status", Answer->Status_},
                                               {"outcome", Answer->Outcome_},
                                               {"idempotencyKey", Key},
@@ -317,8 +323,8 @@
   return Answer->Outcome_ == "unknown" ? ExitCode::Unknown : ExitCode::Refused;
 }
 
-ExitCode keygen(const Command &Given) {
-  if (Given.Peer_) {
+ExitCode keygen(const Command &Cmd) {
+  if (Cmd.Peer_) {
     const peers::PeerKeys Keys = peers::generatePeerKeys();
     std::cout << json::serialize(json::object{{"public", Keys.Public_},
                                               {"secret", Keys.Secret_}})
@@ -383,41 +389,41 @@
 )";
 }
 
-ExitCode runCommand(boost::asio::io_context &Io, const Command &Given) {
-  if (Given.Verb_ == "keygen")
-    return keygen(Given);
-  const bool NeedsFile = Given.Verb_ == "apply" || Given.Verb_ == "validate";
-  if (NeedsFile && Given.File_.empty())
-    return complain(ExitCode::Usage, Given.Verb_ + " needs -f FILE");
-  if (Given.Verb_ == "validate")
-    return validate(Given);
-  if (Given.Servers_.empty())
-    return complain(ExitCode::Usage, "no --server and no LABURNUM_SERVER");
-  Session Server(Io, Given);
+ExitCode runCommand(boost::asio::io_context &Io, const Command &Cmd) {
+  if (Cmd.Verb_ == "keygen")
+    return keygen(Cmd);
+  const bool NeedsFile = Cmd.Verb_ == "apply" || Cmd.Verb_ == "validate";
+  if (NeedsFile && Cmd.File_.empty())
+    return reportError(ExitCode::Usage, Cmd.Verb_ + " needs -f FILE");
+  if (Cmd.Verb_ == "validate")
+    return validate(Cmd);
+  if (Cmd.Servers_.empty())
+    return reportError(ExitCode::Usage, "no --server and no LABURNUM_SERVER");
+  Session Server(Io, Cmd);
   const std::map<std::string, std::function<ExitCode()>> Verbs = {
-      {"apply", [&] { return apply(Server, Given); }},
-      {"get", [&] { return get(Server, Given); }},
-      {"describe", [&] { return describe(Server, Given); }},
-      {"delete", [&] { return remove(Server, Given); }},
-      {"drain", [&] { return drain(Server, Given); }},
-      {"follow", [&] { return followWave(Server, Given); }},
+      {"apply", [&] { return apply(Server, Cmd); }},
+      {"get", [&] { return get(Server, Cmd); }},
+      {"describe", [&] { return describe(Server, Cmd); }},
+      {"delete", [&] { return remove(Server, Cmd); }},
+      {"drain", [&] { return drain(Server, Cmd); }},
+      {"follow", [&] { return followWave(Server, Cmd); }},
       {"dump", [&] { return dump(Server); }},
-      {"submit", [&] { return submit(Server, Given); }},
+      {"submit", [&] { return submit(Server, Cmd); }},
       {"watch",
        [&] {
-         return Given.Words_.empty()
-                    ? complain(ExitCode::Usage, "watch needs a kind")
-                    : watch(Server, Given, Given.Words_[0]);
+         return Cmd.Arguments_.empty()
+                    ? reportError(ExitCode::Usage, "watch needs a kind")
+                    : watch(Server, Cmd, Cmd.Arguments_[0]);
        }},
       {"decisions", [&] {
-         Command Listed = Given;
-         Listed.Words_ = {"decisions"};
+         Command Listed = Cmd;
+         Listed.Arguments_ = {"decisions"};
          return get(Server, Listed);
        }}};
-  const auto Verb = Verbs.find(Given.Verb_);
+  const auto Verb = Verbs.find(Cmd.Verb_);
   if (Verb == Verbs.end())
-    return complain(ExitCode::Usage,
-                    "unknown verb " + Given.Verb_ + "; see --help");
+    return reportError(ExitCode::Usage,
+                       "unknown verb " + Cmd.Verb_ + "; see --help");
   return Verb->second();
 }
 
--- a/src/ctl/internal/reporting.cpp
+++ b/src/ctl/internal/reporting.cpp
@@ -6,7 +6,7 @@
 
 namespace laburnumspread::ctl {
 
-ExitCode complain(ExitCode Code, const std::string &Text) {
+ExitCode reportError(ExitCode Code, const std::string &Text) {
   std::cerr << "laburnumctl: " << Text << '\n';
   return Code;
 }
@@ -16,7 +16,7 @@
   const std::string Code = textAt(Answer.Json_, "code");
   if (Text.empty())
     Text = Answer.Text_;
-  complain(ExitCode::Refused, Code + ": " + Text);
+  reportError(ExitCode::Refused, Code + ": " + Text);
   if (Answer.Outcome_ == "unknown")
     return ExitCode::Unknown;
   return Answer.Status_ == 409 ? ExitCode::Conflict : ExitCode::Refused;
@@ -24,8 +24,8 @@
 
 ExitCode reportUnreachable(const absl::Status &Why) {
   const bool Sent = Why.message().find("not sent") == absl::string_view::npos;
-  return complain(Sent ? ExitCode::Unknown : ExitCode::Unreachable,
-                  std::string(Why.message()));
+  return reportError(Sent ? ExitCode::Unknown : ExitCode::Unreachable,
+                     std::string(Why.message()));
 }
 
 bool succeeded(const Reply &Answer) {
--- a/src/ctl/internal/reporting.h
+++ b/src/ctl/internal/reporting.h
@@ -7,7 +7,7 @@
 namespace laburnumspread::ctl {
 
 /// Writes a line to the standard error and hands the code on.
-ExitCode complain(ExitCode Code, const std::string &Text);
+ExitCode reportError(ExitCode Code, const std::string &Text);
 
 /// Says what a refused call was refused for.
 ExitCode reportRefusal(const Reply &Answer);
--- a/src/ctl/internal/session.cpp
+++ b/src/ctl/internal/session.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr auto ConnectTime = 3s;
+constexpr auto ConnectTimeout = 3s;
 /// Bookmarks come every 5 s; a stream that is silent for longer is dead.
-constexpr auto StreamSilence = 20s;
+constexpr auto StreamIdleTimeout = 20s;
 
 Reply toReply(const http::Response &Answer) {
   Reply Result;
@@ -29,9 +29,8 @@
 
 } // namespace
 
-Session::Session(boost::asio::io_context &Io, const Command &Given)
-    : Given_(Given) {
-  for (const http::Address &Server : Given.Servers_)
+Session::Session(boost::asio::io_context &Io, const Command &Cmd) : Cmd_(Cmd) {
+  for (const http::Address &Server : Cmd.Servers_)
     Clients_.push_back(std::make_unique<http::Client>(Io, Server));
 }
 
@@ -42,8 +41,8 @@
   Message.Method_ = Method;
   Message.Target_ = Target;
   Message.Headers_.add("Host", "laburnumspread");
-  if (!Given_.Key_.empty())
-    Message.Headers_.add("Authorization", "Bearer " + Given_.Key_);
+  if (!Cmd_.Key_.empty())
+    Message.Headers_.add("Authorization", "Bearer " + Cmd_.Key_);
   if (!Body.empty())
     Message.Headers_.add("Content-Type", "application/json");
   Message.Body_ = std::move(Body);
@@ -52,16 +51,16 @@
 
 absl::StatusOr<Reply> Session::call(const std::string &Method,
                                     const std::string &Target, std::string Body,
-                                    const http::Headers &More) {
+                                    const http::Headers &ExtraHeaders) {
   http::Request Message = request(Method, Target, std::move(Body));
-  for (const http::Header &Field : More.all())
+  for (const http::Header &Field : ExtraHeaders.all())
     Message.Headers_.add(Field.Name_, Field.Value_);
   absl::Status Last = absl::UnavailableError("no server given");
   for (const auto &Client : Clients_) {
     const auto Answer = Client->exchange(
         Message, SystemClock().now() +
-                     std::chrono::milliseconds(Given_.TimeoutMs_) +
-                     ConnectTime);
+                     std::chrono::milliseconds(Cmd_.TimeoutMs_) +
+                     ConnectTimeout);
     if (Answer.ok())
       return toReply(*Answer);
     Last = Answer.status();
@@ -79,8 +78,8 @@
   std::string Pending;
   absl::Status Refused;
   const absl::Status Ended = Clients_.front()->stream(
-      request("GET", Target, ""), SystemClock().now() + ConnectTime,
-      [] { return SystemClock().now() + StreamSilence; },
+      request("GET", Target, ""), SystemClock().now() + ConnectTimeout,
+      [] { return SystemClock().now() + StreamIdleTimeout; },
       [&](const http::Response &Head) {
         if (Head.Status_ != 200)
           Refused = absl::FailedPreconditionError("refused with status " +
--- a/src/ctl/internal/table.cpp
+++ b/src/ctl/internal/table.cpp
@@ -64,7 +64,7 @@
   return All;
 }
 
-std::string plain(const json::value &Value) {
+std::string toText(const json::value &Value) {
   if (Value.is_string())
     return std::string(Value.get_string());
   if (Value.is_null())
@@ -111,7 +111,7 @@
   }
   if (Count && At->is_array())
     return std::to_string(At->get_array().size());
-  return plain(*At);
+  return toText(*At);
 }
 
 std::string tableOf(const std::string &Kind, const json::value &List) {
--- a/src/ctl/laburnumctl.cpp
+++ b/src/ctl/laburnumctl.cpp
@@ -39,60 +39,60 @@
 }
 
 /// Fills the command; returns what is wrong, or an empty text.
-std::string readCommand(const cxxopts::ParseResult &Given, Command &Into) {
-  auto Words = Given.count("words")
-                   ? Given["words"].as<std::vector<std::string>>()
+std::string readCommand(const cxxopts::ParseResult &Parsed, Command &Cmd) {
+  auto Words = Parsed.count("words")
+                   ? Parsed["words"].as<std::vector<std::string>>()
                    : std::vector<std::string>();
   if (Words.empty())
     return "no verb; see --help";
-  Into.Verb_ = Words.front();
-  Into.Words_.assign(Words.begin() + 1, Words.end());
+  Cmd.Verb_ = Words.front();
+  Cmd.Arguments_.assign(Words.begin() + 1, Words.end());
   std::vector<std::string> Servers;
-  if (Given.count("server"))
-    Servers = Given["server"].as<std::vector<std::string>>();
+  if (Parsed.count("server"))
+    Servers = Parsed["server"].as<std::vector<std::string>>();
   else if (const std::string One = fromEnvironment("LABURNUM_SERVER");
            !One.empty())
     Servers.push_back(One);
   for (const std::string &Text : Servers) {
-    const auto Parsed = laburnumspread::framework::http::parseAddress(Text);
-    if (!Parsed)
+    const auto Address = laburnumspread::framework::http::parseAddress(Text);
+    if (!Address)
       return "--server: " + Text + " is not a numeric ip:port";
-    Into.Servers_.push_back(*Parsed);
+    Cmd.Servers_.push_back(*Address);
   }
-  Into.Key_ = Given.count("key") ? Given["key"].as<std::string>()
+  Cmd.Key_ = Parsed.count("key") ? Parsed["key"].as<std::string>()
                                  : fromEnvironment("LABURNUM_KEY");
-  const std::string Output = Given["output"].as<std::string>();
+  const std::string Output = Parsed["output"].as<std::string>();
   if (Output != "table" && Output != "json")
     return "--output: must be table or json";
-  Into.Output_ = Output == "json" ? laburnumspread::ctl::Output::Json
-                                  : laburnumspread::ctl::Output::Table;
-  Into.File_ = Given["file"].as<std::string>();
-  Into.Body_ = Given["data"].as<std::string>();
-  Into.IfMatch_ = Given["if-match"].as<std::string>();
-  Into.Since_ = Given["since"].as<std::string>();
-  Into.Class_ = Given["class"].as<std::string>();
-  Into.IdempotencyKey_ = Given["idempotency-key"].as<std::string>();
-  Into.TimeoutMs_ = Given["timeout-ms"].as<std::int64_t>();
-  Into.Watch_ = Given.count("watch") > 0;
-  Into.Wait_ = Given.count("wait") > 0;
-  Into.DryRun_ = Given.count("dry-run") > 0;
-  Into.Once_ = Given.count("once") > 0;
-  Into.Peer_ = Given.count("peer") > 0;
+  Cmd.Output_ = Output == "json" ? laburnumspread::ctl::Output::Json
+                                 : laburnumspread::ctl::Output::Table;
+  Cmd.File_ = Parsed["file"].as<std::string>();
+  Cmd.Body_ = Parsed["data"].as<std::string>();
+  Cmd.IfMatch_ = Parsed["if-match"].as<std::string>();
+  Cmd.Since_ = Parsed["since"].as<std::string>();
+  Cmd.Class_ = Parsed["class"].as<std::string>();
+  Cmd.IdempotencyKey_ = Parsed["idempotency-key"].as<std::string>();
+  Cmd.TimeoutMs_ = Parsed["timeout-ms"].as<std::int64_t>();
+  Cmd.Watch_ = Parsed.count("watch") > 0;
+  Cmd.Wait_ = Parsed.count("wait") > 0;
+  Cmd.DryRun_ = Parsed.count("dry-run") > 0;
+  Cmd.Once_ = Parsed.count("once") > 0;
+  Cmd.Peer_ = Parsed.count("peer") > 0;
   return "";
 }
 
 } // namespace
 
-int main(int Count, char **Words) {
+int main(int ArgumentCount, char **Arguments) {
   std::signal(SIGPIPE, SIG_IGN);
-  Command Given;
+  Command Cmd;
   try {
-    const auto Parsed = makeOptions().parse(Count, Words);
+    const auto Parsed = makeOptions().parse(ArgumentCount, Arguments);
     if (Parsed.count("help")) {
       std::cout << helpText();
       return 0;
     }
-    if (const std::string Wrong = readCommand(Parsed, Given); !Wrong.empty()) {
+    if (const std::string Wrong = readCommand(Parsed, Cmd); !Wrong.empty()) {
       std::cerr << "laburnumctl: " << Wrong << '\n';
       return static_cast<int>(ExitCode::Usage);
     }
@@ -102,7 +102,7 @@
   }
   boost::asio::io_context Io(1);
   laburnumspread::framework::fibers::useAsioScheduler(Io);
-  const ExitCode Code = runCommand(Io, Given);
+  const ExitCode Code = runCommand(Io, Cmd);
   std::cout.flush();
   std::_Exit(static_cast<int>(Code));
 }
--- a/src/ctl/session.h
+++ b/src/ctl/session.h
@@ -14,11 +14,11 @@
 /// Speaks to the first of the given entries that answers.
 class Session {
 public:
-  Session(boost::asio::io_context &Io, const Command &Given);
+  Session(boost::asio::io_context &Io, const Command &Cmd);
 
   absl::StatusOr<Reply> call(const std::string &Method,
                              const std::string &Target, std::string Body,
-                             const framework::http::Headers &More = {});
+                             const framework::http::Headers &ExtraHeaders = {});
 
   /// Hands out the JSON lines of a stream until \p OnLine returns false.
   absl::Status
@@ -30,7 +30,7 @@
                                    const std::string &Target,
                                    std::string Body) const;
 
-  const Command &Given_;
+  const Command &Cmd_;
   std::vector<std::unique_ptr<framework::http::Client>> Clients_;
 };
 
--- a/src/ctl/tests/commandstest.cpp
+++ b/src/ctl/tests/commandstest.cpp
@@ -15,10 +15,10 @@
   const std::string File = "ctl_test_input.json";
   std::ofstream(File) << Text;
   boost::asio::io_context Io;
-  Command Given;
-  Given.Verb_ = Verb;
-  Given.File_ = File;
-  return runCommand(Io, Given);
+  Command Cmd;
+  Cmd.Verb_ = Verb;
+  Cmd.File_ = File;
+  return runCommand(Io, Cmd);
 }
 
 } // namespace
@@ -32,12 +32,12 @@
   BOOST_TEST((runWith("validate", R"({"kind": "cows"})") == ExitCode::Usage));
 }
 
-BOOST_AUTO_TEST_CASE(WrongCommandLinesSendNothing) {
+BOOST_AUTO_TEST_CASE(InvalidCommandLinesAreRejected) {
   BOOST_TEST((runWith("dance", "{}") == ExitCode::Usage));
   BOOST_TEST((runWith("get", "{}") == ExitCode::Usage));
 }
 
-BOOST_AUTO_TEST_CASE(NewKeysAreUsableKeys) {
+BOOST_AUTO_TEST_CASE(NewIdempotencyKeysAreValid) {
   const std::string Text = newIdempotencyKey();
   const auto Key = laburnumspread::idempotency::parseRequestKey(Text);
   BOOST_REQUIRE_MESSAGE(Key.has_value(), Text);
