--- a/src/cell/cellservice.h
+++ b/src/cell/cellservice.h
@@ -290,7 +290,7 @@
   /// started again settles the runs of its former life itself; if it is never
   /// listed, an order that is carried out late may still reach it.
   static TimePoint lapsedAfter(const Term<Store> &T,
-                             const WorkerIncarnation &Life) {
+                               const WorkerIncarnation &Life) {
     const auto Newer = T.Workers_.upper_bound(Life);
     if (Newer != T.Workers_.end() && Newer->first.Id_ == Life.Id_)
       return TimePoint::max();
@@ -363,7 +363,7 @@
         return;
       if (Reply.ok())
         T->Advice_.recordAnswer(Step, Reply->Workers_, Reply->ValidFor_,
-                                 AskedAt);
+                                AskedAt);
       else
         T->Advice_.recordNoAnswer(Step, now());
       T->Commits_.wake();
--- a/src/cell/internal/callrouter.cpp
+++ b/src/cell/internal/callrouter.cpp
@@ -50,7 +50,7 @@
     return *Answer;
   JobReply Result;
   Result.Status_ = Attempts.mayHaveBeenAccepted() ? JobCallStatus::Unknown
-                                                   : JobCallStatus::Refused;
+                                                  : JobCallStatus::Refused;
   return Result;
 }
 
--- a/src/cell/internal/machinetable.cpp
+++ b/src/cell/internal/machinetable.cpp
@@ -90,7 +90,8 @@
   return Found == Orders_.end() ? std::nullopt : Found->second.Life_;
 }
 
-std::set<WorkerIncarnation> MachineTable::livesEndedByOrders(TimePoint Before) const {
+std::set<WorkerIncarnation>
+MachineTable::livesEndedByOrders(TimePoint Before) const {
   std::set<WorkerIncarnation> Lives;
   for (const auto &[Machine, Item] : Orders_)
     if (Item.Acknowledged_ && Item.At_ < Before && Item.Life_)
--- a/src/cell/leaderelector.h
+++ b/src/cell/leaderelector.h
@@ -261,7 +261,8 @@
   /// offer on this entry answers no call, since a peer may lead at any moment;
   /// what runs keeps its leases, as without an offer.
   void offerIfStoreUnreachable() {
-    const bool Silent = now() - Leadership_.confirmationReceivedAt() > OfferAfterSilence;
+    const bool Silent =
+        now() - Leadership_.confirmationReceivedAt() > OfferAfterSilence;
     SilentChecks_ = Silent ? SilentChecks_ + 1 : 0;
     const bool Unreachable = SilentChecks_ >= SilentChecksToOffer ||
                              Leadership_.refusals() >= OfferAfterRefusals;
--- a/src/cell/machineorders.h
+++ b/src/cell/machineorders.h
@@ -102,7 +102,8 @@
   /// while the order is open, and a machine that still needs it is planned
   /// anew, so to give it up is enough.
   bool orderStillApplies(const MachineId &Machine) const {
-    const std::optional<WorkerIncarnation> Life = Table_->lifeEndedByOrder(Machine);
+    const std::optional<WorkerIncarnation> Life =
+        Table_->lifeEndedByOrder(Machine);
     return Table_->busy(Machine) && Table_->lifeOn(Machine) == Life &&
            !(Life && Term_->Table_.usageOf(*Life));
   }
--- a/src/cell/machinetable.h
+++ b/src/cell/machinetable.h
@@ -38,7 +38,8 @@
   void orderAcknowledged(const MachineId &Machine, TimePoint Now);
   /// The life that the open order ends, if it has been seen: the one on the
   /// machine when it left, or one from before that was seen only later.
-  std::optional<WorkerIncarnation> lifeEndedByOrder(const MachineId &Machine) const;
+  std::optional<WorkerIncarnation>
+  lifeEndedByOrder(const MachineId &Machine) const;
   /// Lives for which orders were given that were acknowledged before \p Before.
   /// Each is over if a list that is newer says that it is gone.
   std::set<WorkerIncarnation> livesEndedByOrders(TimePoint Before) const;
--- a/src/cell/tests/machinetabletest.cpp
+++ b/src/cell/tests/machinetabletest.cpp
@@ -146,8 +146,8 @@
   BOOST_TEST((Table.lifeEndedByOrder(Machine) == worker(1).Incarnation_));
   Table.orderAcknowledged(Machine, Start + 1s);
   BOOST_TEST(Table.livesEndedByOrders(Start + 1s).empty());
-  BOOST_TEST(
-      (Table.livesEndedByOrders(Start + 2s) == std::set{worker(1).Incarnation_}));
+  BOOST_TEST((Table.livesEndedByOrders(Start + 2s) ==
+              std::set{worker(1).Incarnation_}));
   Table.recordWorker(worker(2), Start + 3s);
   Table.orderAcknowledged(Machine, Start + 4s);
   BOOST_TEST(Table.livesEndedByOrders(Start + 5s).empty());
--- a/src/entry/internal/placementservice.cpp
+++ b/src/entry/internal/placementservice.cpp
@@ -262,7 +262,8 @@
 void PlacementService::preemptForUrgent() {
   for (auto &[Name, Row] : Pools_) {
     const PoolName &Pool = Name;
-    if (!Row.Queue_.urgentWaitingSince(State_.now() - UrgentWaitBeforePreemption))
+    if (!Row.Queue_.urgentWaitingSince(State_.now() -
+                                       UrgentWaitBeforePreemption))
       continue;
     const auto Victim = std::find_if(
         Preemptible_.begin(), Preemptible_.end(),
--- a/src/entry/internal/requestrunner.cpp
+++ b/src/entry/internal/requestrunner.cpp
@@ -241,8 +241,8 @@
 void RequestRunner::runAttempt(ActiveRequest &Active, const Placement &At) {
   const TimePoint Start = State_.now();
   if (Active.Cancel_.cancelled() || !Active.KeyIsValid_() || State_.fenced()) {
-    Placements_.finish(Active.Request_, At, routing::ExchangeResult::Refused, {},
-                       Active.Cancel_);
+    Placements_.finish(Active.Request_, At, routing::ExchangeResult::Refused,
+                       {}, Active.Cancel_);
     const bool Cancelled = Active.Cancel_.cancelled();
     return fail(Active, {Cancelled              ? ProblemCode::Cancelled
                          : Active.KeyIsValid_() ? ProblemCode::CutOff
--- a/src/maintenance/internal/disruptionbudgets.cpp
+++ b/src/maintenance/internal/disruptionbudgets.cpp
@@ -52,7 +52,8 @@
     const Count &Row = at(Where);
     return Row.Down_ + 1 > Allowed.resolve(Row.Total_);
   };
-  auto TextOf = [&](const BudgetScope &Where, const fleet::CountOrPercent &Allowed) {
+  auto TextOf = [&](const BudgetScope &Where,
+                    const fleet::CountOrPercent &Allowed) {
     const Count &Row = at(Where);
     std::string Text = "pool " + std::string(Where.Pool_);
     if (!Where.Kind_.empty())
