--- a/src/scheduling/advicetable.h
+++ b/src/scheduling/advicetable.h
@@ -11,7 +11,7 @@
 using framework::clock::Duration;
 using framework::clock::TimePoint;
 
-/// A step of one occurrence of a job.
+/// Identifies a step of one occurrence of a job.
 struct StepName {
   jobs::JobId Job_;
   std::uint32_t Occurrence_ = 0;
@@ -24,44 +24,55 @@
   }
 };
 
-/// A worker that may run a step, and the ticket that proves it.
+/// A worker that the advisor permits to run a step, and the ticket with which
+/// the worker verifies the permission.
 struct AdvisedWorker {
   jobs::WorkerId Worker_;
   std::string Ticket_;
 };
 
-/// One answer of the advisor.
+/// An answer of the advisor for one step.
 struct AdviceReply {
   std::vector<AdvisedWorker> Workers_;
+  /// How long the tickets are valid, counted from the request.
   Duration ValidFor_{};
 };
 
-/// What the advisor has said lately. A ticket holds for all tasks of a step
-/// during one life of the worker, and for a limited time; one that would end
-/// on the way to the worker is not used.
+/// Caches the advisor's answers per step. A ticket is valid for all tasks of
+/// the step, for one incarnation of the worker and for a limited time. A ticket
+/// that could expire before the worker receives it is not used.
 class AdviceTable {
 public:
-  /// A start takes some milliseconds; its repetitions a second.
+  /// Time that a ticket must still be valid to be used. A start request takes
+  /// a few milliseconds; with its retries it can take a second.
   static constexpr Duration UseMargin = std::chrono::milliseconds(300);
-  /// After an answer without enough workers, or none, the advisor is asked
-  /// again: what a step needs does not change, but which workers there are
-  /// does.
+  /// Time until the advisor is asked again after it named no or too few
+  /// workers, or did not answer. The needs of a step are fixed, but the set of
+  /// workers changes.
   static constexpr Duration RetryInterval = std::chrono::milliseconds(400);
-  /// Workers named in one call, the platform's bound.
+  /// The platform's limit on the workers named in one request.
   static constexpr std::size_t MaxWorkersPerRequest = 100;
 
-  /// Whether the step should be asked about now; notes that it is.
+  /// Returns whether the advisor should be asked about the step now, and if so
+  /// marks the request as pending.
   bool beginRequest(const StepName &Step, TimePoint Now);
+  /// Stores the answer to a request that was sent at \p RequestedAt, and
+  /// replaces the step's earlier tickets.
   void recordAnswer(const StepName &Step,
                     const std::vector<AdvisedWorker> &Workers,
                     Duration ValidFor, TimePoint RequestedAt);
+  /// The request failed or timed out; it is repeated after RetryInterval.
   void recordNoAnswer(const StepName &Step, TimePoint Now);
 
+  /// Returns the ticket of the step for the worker, or nullopt if there is none
+  /// or it expires within UseMargin.
   std::optional<std::string> ticket(const StepName &Step,
                                     const jobs::WorkerId &Worker,
                                     TimePoint Now) const;
-  /// A worker has refused the ticket.
+  /// The worker has refused the ticket. It is dropped; if it was the step's
+  /// last one, the advisor may be asked again at once.
   void recordRefusal(const StepName &Step, const jobs::WorkerId &Worker);
+  /// Removes all entries of the job.
   void forget(const jobs::JobId &Job);
 
 private:
--- a/src/scheduling/internal/scheduler.cpp
+++ b/src/scheduling/internal/scheduler.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// A step whose tasks may start.
+/// A step with tasks that can start now.
 struct ReadyStep {
   const JobRow *Job_ = nullptr;
   const QueueConfig *Queue_ = nullptr;
@@ -24,18 +24,20 @@
   const StepRow *Row_ = nullptr;
   std::uint32_t Occurrence_ = 0;
   std::uint32_t Step_ = 0;
+  /// Whether the latest start has passed.
   bool Late_ = false;
-  /// When the rest of its job must begin to be in time.
+  /// Latest time at which the rest of the job can start and still meet its
+  /// deadline.
   TimePoint LatestStart_{};
-  /// Processor time that the job still needs, in thousandths of a core and
-  /// seconds.
+  /// Expected CPU time that the job still needs, in millicores times seconds.
   double RemainingCpuWork_ = 0;
 };
 
-/// Tasks that serve come first: each second away costs their users. Then work
-/// that can still be in time, that first which can wait the least; what is late
-/// already is worth a fraction, so it takes what is left, the smallest first,
-/// which gets most of it done.
+/// Scheduling order. Long-running tasks come first, because their users are
+/// affected by every second of downtime. Jobs that can still meet their
+/// deadline follow, by least slack. Late jobs earn only a fraction of their
+/// value and get the remaining capacity, those with the least remaining work
+/// first, which completes most of them.
 bool runsBefore(const ReadyStep &A, const ReadyStep &B) {
   const auto Rank = [](const ReadyStep &S) {
     return std::make_tuple(!S.Spec_->LongRunning_, S.Late_, S.Spec_->Filler_,
@@ -56,14 +58,15 @@
                      });
 }
 
-/// Whether some task of the step waits for a start. A gang starts whole.
+/// Whether the step has a task to start. A gang starts only as a whole.
 bool hasIdleTask(const StepRow &Row, const StepSpec &Spec) {
   if (Spec.Gang_)
     return Row.LiveCount_ == 0 && Row.DoneCount_ < Row.Tasks_.size();
   return Row.LiveCount_ + Row.DoneCount_ < Row.Tasks_.size();
 }
 
-/// Longest chain of expected run times over the steps that are not done.
+/// Returns the expected critical path over the steps of the occurrence that are
+/// not done.
 Duration remainingCriticalPath(const JobRow &Job, std::uint32_t Occurrence,
                                const RunTimeEstimator &Estimator) {
   const auto &Steps = Job.Occurrences_[Occurrence].Steps_;
@@ -82,6 +85,8 @@
   return Longest;
 }
 
+/// Returns the expected CPU time of all tasks of the job that are not done, in
+/// millicores times seconds.
 double remainingCpuWork(const JobRow &Job, const RunTimeEstimator &Estimator) {
   double Sum = 0;
   for (const jobs::OccurrenceRow &Occurrence : Job.Occurrences_)
@@ -96,7 +101,7 @@
   return Sum;
 }
 
-/// Free room while a plan is made.
+/// Tracks free resources during a scheduling pass and assigns tasks to workers.
 class Placement {
 public:
   Placement(const CellTable &Table, const CellConfig &Config,
@@ -108,7 +113,8 @@
       ByPool_[Workers_[I].Worker_->Pool_].push_back(I);
   }
 
-  /// Places the waiting tasks of a step. Returns how many found no worker.
+  /// Places the waiting tasks of a step. Returns the number of tasks for which
+  /// no worker was found.
   std::size_t place(const ReadyStep &Step, Plan &Into) {
     if (Step.Queue_->Advice_)
       Into.AwaitingAdvice_.push_back(nameOf(Step));
@@ -127,7 +133,8 @@
       const TaskRow &Task = Step.Row_->Tasks_[I];
       if (!Task.idle() || Task.NotBefore_ > Now_)
         continue;
-      // Tasks of a step are alike: where one does not fit, none will.
+      // All tasks of a step have the same demand: if one does not fit, none
+      // will.
       Candidate *Chosen = Full ? nullptr : chooseWorker(Step);
       if (!Chosen) {
         Full = true;
@@ -139,6 +146,7 @@
     return Left;
   }
 
+  /// Places all tasks of a gang under one run number, or none of them.
   std::size_t placeGang(const ReadyStep &Step, Plan &Into) {
     RunNumber Run;
     for (const TaskRow &Task : Step.Row_->Tasks_)
@@ -174,8 +182,10 @@
          On.Worker_->Incarnation_});
   }
 
-  /// The worker for one task: most trusted, near its data, then the fullest
-  /// that has room, so that others stay empty and can be given away.
+  /// Returns the best worker for one task, or nullptr if none is eligible.
+  /// Prefers the lowest penalty, then a worker on the rack of the input data,
+  /// then best fit, so that other workers stay empty and their machines can be
+  /// moved to other pools.
   Candidate *chooseWorker(const ReadyStep &Step) {
     if (!withinWorkspaceLimit(Step))
       return nullptr;
@@ -225,7 +235,8 @@
             Worker.Worker_->Incarnation_};
   }
 
-  /// Tasks of the step that may be running on the worker, in doubt included.
+  /// Counts the tasks of the step that run, may run, or are planned on the
+  /// worker.
   std::uint32_t runsOnWorker(const ReadyStep &Step,
                              const Candidate &Worker) const {
     std::uint32_t Count = 0;
@@ -264,7 +275,7 @@
   std::map<StepOnWorker, std::uint32_t> PlannedPerWorker_;
 };
 
-/// Occurrences that are due by the wall clock.
+/// Returns the number of occurrences that are due by the wall clock.
 std::uint32_t dueOccurrences(const jobs::JobSpec &Job, std::int64_t WallMs) {
   if (Job.Occurrences_ == 0)
     return 1;
--- a/src/scheduling/pacer.h
+++ b/src/scheduling/pacer.h
@@ -6,31 +6,34 @@
 
 namespace laburnumspread::scheduling {
 
-/// A task that serves users, by its last report.
+/// Latency of a serving task, from its last report.
 struct ServingLatency {
   std::int64_t TargetMs_ = 0;
   std::int64_t TailMs_ = 0;
 };
 
-/// How fast the tasks of one worker that only fill may work, in percent.
+/// Controls the speed of a worker's filler tasks, in percent of full speed.
 ///
-/// Tasks that fill disturb those that serve by amounts that nobody knows
-/// beforehand and that change within seconds. So the pace is cut at once and by
-/// half when a serving task comes near its target, and raised slowly while all
-/// are well below it: the additive-increase, multiplicative-decrease of
-/// congestion control, which settles just under the point of harm.
+/// Filler tasks slow down the serving tasks on the same worker by an amount
+/// that is not known beforehand and changes within seconds. The pace is
+/// therefore halved as soon as a serving task approaches its latency target,
+/// and raised slowly while all are well below it. This is the additive
+/// increase, multiplicative decrease (AIMD) of congestion control; it converges
+/// just below the pace at which serving tasks miss their targets.
 class Pacer {
 public:
-  /// Part of the target above which the pace is cut.
+  /// Fraction of the target above which the pace is halved.
   static constexpr double CutAbove = 0.85;
-  /// Part of the target below which it may be raised.
+  /// Fraction of the target below which the pace is raised.
   static constexpr double RaiseBelow = 0.65;
+  /// Percentage points by which the pace is raised per report.
   static constexpr int RaisePercent = 10;
-  /// Below this a task is stopped rather than paced: half of little is nothing.
+  /// A pace below this becomes 0: a task this slow makes no useful progress.
   static constexpr int MinPercent = 10;
   static constexpr int FullPercent = 100;
 
-  /// The next pace after a report.
+  /// Returns the new pace after a report of the worker's serving tasks. Tasks
+  /// without a target are ignored.
   int update(const std::vector<ServingLatency> &Serving);
   int percent() const { return Percent_; }
 
--- a/src/scheduling/runtimeestimator.h
+++ b/src/scheduling/runtimeestimator.h
@@ -6,35 +6,41 @@
 
 namespace laburnumspread::scheduling {
 
-/// Run times as they were seen, beside the callers' own estimates.
+/// Predicts run times from measured ones and the callers' declared estimates.
 ///
-/// Declared estimates are several times off, each by a factor of its own, so a
-/// mean ratio does not mend them: what is declared long is on average not that
-/// long, and what is declared short not that short. So the logarithm of the
-/// time seen is fitted to that of the time declared, by queue, as a straight
-/// line (least squares, the older runs fading). Where the declared times say
-/// nothing, the line is flat and every task is expected to take the queue's
-/// mean; where they are right, it follows them.
+/// Declared estimates are wrong by several times, each by a different factor,
+/// so scaling them by a mean ratio does not help: tasks that are declared long
+/// are on average shorter than declared, and those declared short are longer.
+/// Instead, the logarithm of the measured time is fitted to that of the
+/// declared time as a straight line per queue (least squares with exponentially
+/// decaying weights). If the declared times carry no information the slope is
+/// zero and every task gets the queue's mean; if they are correct, the line
+/// reproduces them.
 class RunTimeEstimator {
 public:
-  /// Weight of the newest run once enough are known: about the last hundred
-  /// count. Fewer leave the slope to chance.
+  /// Weight of the newest run once enough runs are known, so that about the
+  /// last hundred runs count. With fewer, the slope is mostly noise.
   static constexpr double MinRunWeight = 0.01;
-  /// Runs of a queue before which the declared times are taken as they are.
+  /// Until this many runs of a queue are known, declared times are used
+  /// unchanged.
   static constexpr std::uint64_t MinRuns = 10;
-  /// A run that took longer or shorter than declared by more than this is taken
-  /// as off by this: its worker hung, or its end was noticed late.
+  /// Limit on the ratio between measured and declared time, in both directions.
+  /// Larger ratios are clamped: the worker hung, or the end of the run was
+  /// detected late.
   static constexpr double MaxErrorFactor = 10;
 
+  /// Adds one completed run. Ignored if either time is not positive.
   void recordRun(const jobs::QueueName &Queue, jobs::Duration Declared,
                  jobs::Duration Measured);
 
-  /// Expected run time of one task of the step.
+  /// Returns the expected run time of one task of the step: the declared
+  /// estimate as long as the queue has fewer than MinRuns runs or the step
+  /// declares none.
   jobs::Duration expectedRunTime(const jobs::QueueName &Queue,
                                  const jobs::StepSpec &Step) const;
 
 private:
-  /// Means of the logarithms of both times, and how they vary together.
+  /// Weighted least-squares fit of log(measured) to log(declared).
   struct LinearFit {
     std::uint64_t Runs_ = 0;
     double MeanLogDeclared_ = 0;
@@ -49,12 +55,13 @@
   std::map<jobs::QueueName, LinearFit> Fits_;
 };
 
-/// Longest chain of expected run times over the job's steps.
+/// Returns the expected run time of the job's critical path: the longest chain
+/// of dependent steps of one occurrence.
 jobs::Duration criticalPath(const jobs::JobSpec &Job,
                             const RunTimeEstimator &Estimator);
 
-/// Processor time of all finite tasks of one occurrence, in thousandths of a
-/// core times microseconds.
+/// Returns the expected CPU time of all finite tasks of one occurrence, in
+/// millicores times microseconds.
 double totalCpuWork(const jobs::JobSpec &Job,
                     const RunTimeEstimator &Estimator);
 
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -8,8 +8,8 @@
 
 #include <vector>
 
-/// Decides which task runs next, and on which worker. Pure: tables in, orders
-/// out.
+/// Decides which tasks to start and on which workers. The planning functions
+/// have no side effects: they map tables to a list of starts.
 namespace laburnumspread::scheduling {
 
 using framework::clock::Duration;
@@ -18,35 +18,38 @@
 using jobs::CellTable;
 using workers::WorkerRecord;
 
-/// A worker that may be given tasks now.
+/// A worker that can accept tasks now.
 struct Candidate {
   const WorkerRecord *Worker_ = nullptr;
   jobs::Resources Free_;
-  /// Lower is better: grows while tasks fail or hang there.
+  /// Penalty for tasks that failed or hung on the worker recently; workers with
+  /// a lower value are preferred.
   double Distrust_ = 0;
 };
 
+/// The time of a scheduling pass, by both clocks.
 struct PlanTime {
   TimePoint Now_{};
-  /// For jobs that are due at a time of day, in Unix milliseconds.
+  /// Wall clock time in Unix milliseconds, for jobs with scheduled occurrences.
   std::int64_t WallMs_ = 0;
 };
 
-/// One pass over what is ready.
+/// Result of one scheduling pass.
 struct Plan {
   std::vector<jobs::RunIntended> Starts_;
-  /// Tasks that are ready but have found no worker.
+  /// Number of tasks that are ready but did not fit on any worker.
   std::size_t UnplacedTasks_ = 0;
-  /// Steps that may start only where the queue's advisor says, with tasks
-  /// waiting, in the order in which they would start.
+  /// Steps with waiting tasks whose queue has an advisor that must approve the
+  /// workers, in scheduling order.
   std::vector<StepName> AwaitingAdvice_;
 };
 
-/// When a job stops being in time: its stretched chain of work and the queue's
-/// aim after it was taken.
+/// Returns the job's deadline: its acceptance time plus the queue's target
+/// latency plus the expected critical path times the queue's stretch factor.
 TimePoint deadlineOf(const jobs::JobRow &Job, const jobs::QueueConfig &Queue,
                      const RunTimeEstimator &Estimator);
 
+/// Plans the starts of a cell's tasks.
 class Scheduler {
 public:
   Scheduler(const CellTable &Table, const CellConfig &Config,
@@ -54,6 +57,7 @@
       : Table_(Table), Config_(Config), Estimator_(Estimator),
         Advised_(Advised) {}
 
+  /// Assigns ready tasks to the workers until no more fit.
   Plan plan(std::vector<Candidate> Workers, PlanTime At) const;
 
 private:
--- a/src/scheduling/tests/advicetabletest.cpp
+++ b/src/scheduling/tests/advicetabletest.cpp
@@ -44,8 +44,8 @@
   BOOST_TEST(Table.beginRequest(Step, Start + 1100ms));
 }
 
-// A worker was replaced under its id: its ticket is refused, and the step must
-// not be sent there again and again.
+// A worker that was replaced under the same id refuses the ticket. The step
+// must not be sent to it with that ticket again.
 BOOST_AUTO_TEST_CASE(RefusedTicketIsNotUsedAgain) {
   AdviceTable Table;
   Table.beginRequest(Step, Start);
--- a/src/scheduling/tests/pacertest.cpp
+++ b/src/scheduling/tests/pacertest.cpp
@@ -27,8 +27,8 @@
   BOOST_TEST(Pace.update({{100, 50}}) == 60);
 }
 
-// Service that a filling task slows down by its pace settles below the target
-// and the filling task keeps working.
+// The latency of a service that a filler task slows down converges below the
+// target, and the filler task keeps making progress.
 BOOST_AUTO_TEST_CASE(SettlesUnderTheTarget) {
   Pacer Pace;
   int OverInRow = 0, Worked = 0;
--- a/src/scheduling/tests/runtimeestimatortest.cpp
+++ b/src/scheduling/tests/runtimeestimatortest.cpp
@@ -19,8 +19,8 @@
   return Step;
 }
 
-/// Tasks with true times around a second, declared wrongly by a factor of their
-/// own.
+/// Generates tasks with actual run times around one second, each declared wrong
+/// by a random factor.
 struct Tasks {
   explicit Tasks(double Off) : Truth_(0, 0.5), Error_(0, Off) {}
 
@@ -36,7 +36,8 @@
   std::normal_distribution<double> Error_;
 };
 
-/// Mean error of the logarithm over 2,000 tasks, after 200 others.
+/// Returns the mean absolute log error of the estimator and of the declared
+/// times over 2,000 tasks, after 200 tasks of training.
 std::pair<double, double> errors(double Off) {
   Tasks Source(Off);
   RunTimeEstimator Estimator;
@@ -70,9 +71,9 @@
   BOOST_TEST((Estimator.expectedRunTime(Queue, declared(1s)) > 4900ms));
 }
 
-// Callers whose jobs are declared too short are put behind the others as late,
-// though they could be in time, and callers who declare too long hold up the
-// rest.
+// Guards against wrong scheduling due to wrong declarations: jobs declared too
+// short are treated as late although they could meet their deadlines, and jobs
+// declared too long delay the others.
 BOOST_AUTO_TEST_CASE(WildDeclarationsAreMended) {
   const auto [Ours, Callers] = errors(0.9);
   BOOST_TEST(Ours < 0.65 * Callers);
--- a/src/scheduling/tests/schedulertest.cpp
+++ b/src/scheduling/tests/schedulertest.cpp
@@ -98,8 +98,9 @@
   BOOST_TEST(plan().size() == 3u);
 }
 
-// At the begin of a peak large jobs wait until they are late, though small ones
-// that came just now could wait for the machines that are on their way.
+// Guards against large jobs becoming late at the start of a peak while small
+// jobs that have just arrived, and could wait for machines being moved, run
+// first.
 BOOST_AUTO_TEST_CASE(JobThatCanWaitTheLeastGoesFirst) {
   worker("w", 1000);
   job("large", {step(5, 200)}, 1000ms);
@@ -109,8 +110,8 @@
   BOOST_TEST(startsOf(Starts, "small") == 0u);
 }
 
-// A job with steps still to come is due later than one without and yet must go
-// on first: its slack is what counts, not when it is due.
+// A job with several remaining steps can have a later deadline but less slack
+// than a job with one step. The order must follow slack, not the deadline.
 BOOST_AUTO_TEST_CASE(SlackCountsNotTheDueTime) {
   worker("w", 1000);
   StepSpec Second = step(1, 1000), Third = step(1, 1000);
@@ -123,7 +124,8 @@
   BOOST_TEST(startsOf(Starts, "short") == 0u);
 }
 
-// Two jobs that are late: the larger would hold up the smaller for nothing.
+// Both jobs are late: running the larger one first would only delay the smaller
+// one.
 BOOST_AUTO_TEST_CASE(SmallWorkGoesFirstAmongWhatIsLate) {
   worker("w", 1000);
   job("large", {step(10, 200)}, 20s);
@@ -133,8 +135,9 @@
   BOOST_TEST(startsOf(Starts, "large") == 3u);
 }
 
-// Under a load that is too high everything would be begun just before it is
-// late, and be late: what can no longer be in time yields to what can.
+// Under overload, strict slack order would start every job just before it
+// becomes late, so that all miss their deadlines. Jobs that can no longer meet
+// theirs must yield to jobs that can.
 BOOST_AUTO_TEST_CASE(WhatCannotBeInTimeYields) {
   worker("w", 1000);
   job("hopeless", {step(1, 1000)}, 2s);
@@ -183,7 +186,7 @@
   const auto Starts = plan();
   BOOST_TEST(startsOf(Starts, "apart") == 2u);
   BOOST_TEST(startsOf(Starts, "labelled") == 2u);
-  // Room for some of the gang only: none starts.
+  // Only a part of the gang fits, so none of it starts.
   BOOST_TEST(startsOf(Starts, "gang") == 0u);
 }
 
