--- a/src/capacity/capacitytypes.h
+++ b/src/capacity/capacitytypes.h
@@ -3,8 +3,8 @@
 #include "jobs/celltable.h"
 #include "workers/workertypes.h"
 
-/// Decides over machines: which are given to which pool, and when each has its
-/// upkeep. Pure: tables in, orders out.
+/// Assigns machines to pools and schedules their upkeep. The planners have no
+/// side effects: they map tables to a list of orders.
 namespace laburnumspread::capacity {
 
 using framework::clock::Duration;
@@ -17,23 +17,25 @@
 using workers::WaveNumber;
 using workers::WaveRecord;
 
-/// A machine and what runs on it.
+/// A machine and the runs on it, as the planners see it.
 struct MachineView {
   MachineRecord Record_;
-  /// Its worker takes tasks, or would if it were not held back.
+  /// Whether its worker accepts tasks, apart from a cordon.
   bool Usable_ = false;
-  /// Held back for upkeep: it is given no new tasks.
+  /// Cordoned for upkeep: it is given no new tasks.
   bool Cordoned_ = false;
-  /// An order for it has been sent and is not settled, or it is on its way.
+  /// The outcome of an order for it is still open, or it is being moved.
   bool InTransition_ = false;
-  /// An earlier holder may have ordered it lately: no order before this.
+  /// No order may be given before this time, because an earlier leader may have
+  /// ordered the machine recently.
   TimePoint NoOrderBefore_{};
-  /// What its worker has been given, of its room.
+  /// Resources of the worker that are allocated to runs.
   Resources Used_;
-  /// Tasks that end by themselves, and tasks that last.
+  /// Number of runs that end by themselves.
   std::size_t FiniteRuns_ = 0;
+  /// Runs of long-running tasks.
   std::vector<jobs::RunName> LongRunningRuns_;
-  /// Since when nothing has run on it.
+  /// Time since which no run has been on it.
   TimePoint IdleSince_{};
 
   bool idle() const { return FiniteRuns_ == 0 && LongRunningRuns_.empty(); }
--- a/src/capacity/internal/poolplanner.cpp
+++ b/src/capacity/internal/poolplanner.cpp
@@ -22,7 +22,8 @@
   }
 };
 
-/// How many machines hold \p Wanted when each holds \p Each.
+/// Returns how many machines with a capacity of \p Each are needed for
+/// \p Wanted.
 std::size_t machinesToFit(std::int64_t Wanted, std::int64_t Each) {
   if (Each <= 0)
     return 0;
@@ -31,6 +32,8 @@
                 (PoolPlanner::FillFraction * static_cast<double>(Each))));
 }
 
+/// Returns the expected increase of the load, in millicores, until a machine
+/// that is ordered now arrives.
 std::int64_t expectedGrowth(const PoolDemand &Demand) {
   return static_cast<std::int64_t>(
       PoolPlanner::GrowthMultiplier *
@@ -49,7 +52,7 @@
                    machinesToFit(Wanted.Accelerators_, Each.Accelerators_)});
 }
 
-/// One pass: the pools as they are, and the orders that follow.
+/// One planning pass: the state of the pools and the orders derived from it.
 class PlanningPass {
 public:
   PlanningPass(const std::map<MachineId, MachineView> &Machines,
@@ -71,7 +74,7 @@
       Row.Required_ = std::max(Row.Required_, Row.Available_ + 1);
   }
 
-  /// The pools with the largest lack come first.
+  /// Fills the pools with the largest shortage first.
   void coverShortages() {
     std::vector<std::pair<std::size_t, PoolName>> Shortages;
     for (const auto &[Pool, Row] : Pools_)
@@ -82,8 +85,8 @@
       coverShortage(To, Missing);
   }
 
-  /// What came for a peak goes home after it: to be switched off, or so that
-  /// its own pool is ready for its next one.
+  /// Returns idle machines to their home pools after a peak, to be switched off
+  /// or so that the home pool is ready for its next peak.
   void returnIdleMachines() {
     for (const auto &[Pool, Row] : Pools_) {
       std::size_t Extra = Row.surplus(PoolPlanner::SpareMachines);
@@ -103,9 +106,9 @@
   std::vector<MoveOrder> orders() && { return std::move(Orders_); }
 
 private:
-  /// A machine that may be given to another pool; the lowest goes first.
+  /// A machine that can be moved to another pool; the lowest rank goes first.
   struct Donor {
-    /// Away from home, then off, then at home.
+    /// 0 outside its home pool, 1 off, 2 in its home pool.
     int Tier_ = 0;
     std::int64_t RankInTier_ = 0;
     const MachineView *Machine_ = nullptr;
@@ -132,8 +135,9 @@
       Row.IdleMachines_.push_back(&Machine);
   }
 
-  /// Whether a task that lasts waits though the pool has all that it asks for:
-  /// no machine has room for it in one piece, and none is coming.
+  /// Whether a waiting long-running task needs an additional machine although
+  /// the pool has enough capacity in total: no single machine has enough free
+  /// resources for it, and no empty machine is on its way.
   bool needsExtraMachine(const PoolName &Pool, const PoolState &Row,
                          const Resources &Waiting) const {
     if (Waiting == Resources() || !Waiting.fitsInto(Row.MachineCapacity_))
@@ -181,8 +185,8 @@
     for (const MachineView *Machine : StandbyMachines_)
       if (!Ordered_.contains(Machine->Record_.Id_))
         Donors.push_back({1, 0, Machine});
-    // Stable: equal donors stay in the order of their names, so that the same
-    // tables give the same orders.
+    // Stable sort: equal donors stay ordered by name, so that equal tables
+    // yield equal orders.
     std::stable_sort(Donors.begin(), Donors.end(),
                      [](const Donor &A, const Donor &B) {
                        return std::tie(A.Tier_, A.RankInTier_) <
--- a/src/capacity/internal/upkeepplanner.cpp
+++ b/src/capacity/internal/upkeepplanner.cpp
@@ -14,10 +14,10 @@
   return Machine.InTransition_ || Machine.Record_.State_ != MachineState::Up;
 }
 
-/// What one plan has given out so far.
+/// Counts unavailable machines per pool during a planning pass.
 struct DisruptionBudget {
   std::map<PoolName, std::size_t> Size_;
-  /// Machines of the pool that are held back or down.
+  /// Machines of the pool that are cordoned or down.
   std::map<PoolName, std::size_t> Unavailable_;
 
   bool allows(const PoolName &Pool) const {
@@ -41,8 +41,9 @@
   return Result;
 }
 
-/// Machines of a wave in the order in which they are taken: what is off first,
-/// then what has least to lose.
+/// Returns the wave's remaining machines in the order in which they are
+/// drained: those that are off first, then cordoned ones, then idle ones, then
+/// those with the fewest long-running runs.
 std::vector<const MachineView *> drainOrder(const WaveRow &Wave,
                                             const Machines &All,
                                             const std::set<PoolName> &Standby) {
@@ -81,7 +82,8 @@
 
 namespace {
 
-/// Stops of standing tasks under each step's own budget.
+/// Chooses long-running runs to stop, within the limit of unavailable tasks of
+/// each step.
 class EvacuationPlanner {
 public:
   explicit EvacuationPlanner(const jobs::CellTable &Table) : Table_(Table) {}
@@ -153,8 +155,8 @@
     const bool Urgent = isUrgent(Wave, Left.size(), UpkeepTime_, Now);
     std::size_t MayStart =
         Wave.Record_.MaxAllowed_ > Down ? Wave.Record_.MaxAllowed_ - Down : 0;
-    // As many more are emptied as may be down, so that the next round begins
-    // when this one is back.
+    // Up to MaxAllowed_ further machines are drained in advance, so that the
+    // next round can start as soon as this one is up again.
     std::size_t ToDrain = Wave.Record_.MaxAllowed_ + MayStart;
     for (const MachineView *Machine : Left) {
       if (ToDrain == 0)
@@ -173,8 +175,8 @@
         Evacuations.add(*Machine, Result.Evacuate_);
         continue;
       }
-      // A machine is ordered away only after it has been held back for a
-      // pass: a start may be on its way to it.
+      // Upkeep is ordered only after a machine has been cordoned for a whole
+      // pass, because a start may still be in flight to it.
       if (MayStart == 0 || (!Machine->Cordoned_ && !Off))
         continue;
       --MayStart;
--- a/src/capacity/poolplanner.h
+++ b/src/capacity/poolplanner.h
@@ -10,23 +10,24 @@
 
 namespace laburnumspread::capacity {
 
-/// Work that came in lately, as thousandths of a core that it will keep busy at
-/// a time if it goes on so.
+/// Load of the jobs that arrived in a time window, in millicores that they keep
+/// busy on average if jobs continue to arrive at this rate.
 class ArrivedLoad {
 public:
+  /// Adds one job.
   void add(double MilliCpus) {
     Sum_ += MilliCpus;
     Squares_ += MilliCpus * MilliCpus;
   }
-  /// What it is with fair certainty: one standard deviation below the sum, for
-  /// jobs that come by chance. One large job alone foretells nothing; many
-  /// small ones do.
+  /// Returns a lower estimate of the load in millicores: one standard deviation
+  /// below the sum, if jobs arrive independently at random. A single large job
+  /// predicts nothing, many small ones do.
   std::int64_t lowerEstimate() const {
     return static_cast<std::int64_t>(std::max(0.0, Sum_ - std::sqrt(Squares_)));
   }
 
-  /// By how much it has surely grown since \p Before, a time of the same
-  /// length: one standard deviation below the difference.
+  /// Returns a lower estimate, in millicores, of the increase since \p Before,
+  /// a window of the same length: one standard deviation below the difference.
   std::int64_t lowerEstimateOfIncrease(const ArrivedLoad &Before) const {
     const double Chance = std::sqrt(Squares_ + Before.Squares_);
     return static_cast<std::int64_t>(
@@ -38,63 +39,70 @@
   double Squares_ = 0;
 };
 
-/// What a pool's queues ask for now.
+/// Current demand of a pool's queues.
 struct PoolDemand {
-  /// Tasks that last, running or waiting.
+  /// Long-running tasks, running or waiting.
   Resources LongRunning_;
-  /// Finite tasks that run, or could run and wait, of jobs that can be in time.
+  /// Finite tasks, running or ready, of jobs that can still meet their
+  /// deadline.
   Resources FeasibleFinite_;
-  /// A worker with this room could take any of the tasks that last and wait;
-  /// empty when none waits.
+  /// Free resources with which a worker could take any one of the waiting
+  /// long-running tasks; zero if none waits.
   Resources WaitingLongRunning_;
-  /// Finite tasks of jobs that have come lately, waiting or not, and of those
-  /// that came as long a time before.
+  /// Finite tasks of the jobs that arrived in the latest window, waiting or
+  /// not.
   ArrivedLoad RecentArrivals_;
+  /// The same for the window of equal length before it.
   ArrivedLoad PriorArrivals_;
 };
 
+/// Why a machine is moved.
 enum class MoveReason {
-  /// The pool asks for more than it has.
+  /// The target pool has fewer machines than it requires.
   Shortage,
-  /// It is idle away from its home pool.
+  /// The machine is idle outside its home pool and returns there.
   Home,
 };
 std::string_view nameOf(MoveReason Reason);
 
+/// Order to move a machine to another pool.
 struct MoveOrder {
   MachineId Machine_;
   PoolName To_;
   MoveReason Reason_ = MoveReason::Shortage;
 };
 
-/// Moves idle machines to pools whose queues ask for more than they hold.
+/// Moves idle machines to pools whose demand exceeds their machines.
 ///
-/// Demand goes round between queues within seconds, so a pool in its turn asks
-/// for up to twice its own machines while those of others stand idle. A move
-/// takes little more than a second and costs about as much as a machine in a
-/// pool for a second; a machine that is needed earns that many times over.
-/// Machines that are away from their home pool go first, then those that are
-/// off, then those of the pool with most to spare. After the peak each goes
-/// home again: a pool's own machines carry the begin of its turn, until others
-/// come.
+/// Load peaks shift between queues within seconds: during its peak a pool needs
+/// up to twice its own machines while those of other pools are idle. A move
+/// takes little more than a second and costs about as much as running a machine
+/// in a pool for a second, which a needed machine earns back many times over.
+/// Donors are machines outside their home pool first, then machines that are
+/// off, then machines of the pool with the largest surplus. After the peak each
+/// machine returns to its home pool, because a pool's own machines have to
+/// handle the start of its next peak until others arrive.
 class PoolPlanner {
 public:
-  /// Machines beyond the demand of the moment that a pool keeps: a job of
-  /// common size that comes to a pool at rest starts at once.
+  /// Machines that a pool keeps beyond its current demand, so that a job of
+  /// typical size that arrives at an idle pool starts at once.
   static constexpr std::size_t SpareMachines = 2;
-  /// Part of a worker's room that tasks of mixed sizes fill.
+  /// Fraction of a worker's capacity that tasks of mixed sizes can use.
   static constexpr double FillFraction = 0.92;
-  /// A rise of the inflow counts this many times: a machine that is sent for
-  /// now comes after a time one and a half times as long as that over which the
-  /// inflow is measured, and the queue has grown with it by then.
+  /// Factor by which an increase of the arriving load is extrapolated: a
+  /// machine that is ordered now arrives after 1.5 times the length of the
+  /// measuring window, and the load keeps growing until then.
   static constexpr double GrowthMultiplier = 1.5;
-  /// An idle machine may leave its pool after this.
+  /// How long a machine must be idle before it can leave its pool.
   static constexpr Duration MinIdleTime = std::chrono::milliseconds(300);
-  /// A machine that is away from its home pool goes back when it has been idle
-  /// this long: about what the move costs, so that it is not sent to and fro.
+  /// How long a machine must be idle before it returns to its home pool. This
+  /// is about the cost of a move, which avoids moving machines back and forth.
   static constexpr Duration MinIdleBeforeReturn =
       std::chrono::milliseconds(1500);
 
+  /// Returns the moves to order now. \p Homes names the home pool of machines;
+  /// one that is not listed is at home. Machines in the pools of \p Standby are
+  /// off, and these pools are never filled because of a shortage.
   std::vector<MoveOrder> plan(const std::map<MachineId, MachineView> &Machines,
                               const std::map<PoolName, PoolDemand> &Demand,
                               const std::map<MachineId, PoolName> &Homes,
--- a/src/capacity/tests/poolplannertest.cpp
+++ b/src/capacity/tests/poolplannertest.cpp
@@ -80,9 +80,9 @@
   BOOST_TEST(Many.lowerEstimate() == 36000);
 }
 
-// Callers wait at the start of a peak: jobs come ten times as fast as before,
-// but machines were sent for only as the queue grew, a few at a time, and each
-// takes longer than a second to come.
+// Guards against a slow start of a peak: jobs arrive ten times as fast as
+// before, but machines were ordered only as the backlog grew, a few at a time,
+// and each takes more than a second to arrive.
 BOOST_AUTO_TEST_CASE(MachinesAreSentForWhenJobsBeginToPourIn) {
   add("a", Hot);
   for (const char *Name : {"b", "c", "d", "e", "f"})
@@ -93,8 +93,8 @@
   BOOST_TEST(plan().size() == 3u);
 }
 
-// Callers wait all through the rise of a peak: machines were sent for by what
-// was asked at that moment, and more was asked by the time they came.
+// Guards against a shortage during the whole rise of a peak: machines were
+// ordered for the current demand, which had grown by the time they arrived.
 BOOST_AUTO_TEST_CASE(MachinesAreSentForWhatWillBeAskedWhenTheyCome) {
   add("a", Hot);
   for (const char *Name : {"b", "c", "d", "e", "f", "g", "h"})
@@ -125,8 +125,8 @@
   BOOST_TEST(plan().empty());
 }
 
-// A job that comes to a pool at rest waits for a machine to come back: the
-// pool had given all but one of those that it did not use.
+// Guards against an idle pool giving away all but one of its unused machines,
+// so that its next job has to wait for one to return.
 BOOST_AUTO_TEST_CASE(PoolKeepsWhatItNeedsAndTheSpareOnes) {
   add("a", Hot);
   for (const char *Name : {"b", "c", "d", "e"})
@@ -136,8 +136,8 @@
   BOOST_TEST(plan().size() == 1u);
 }
 
-// Tasks that last wait in a pool whose machines went to a peak elsewhere: their
-// processor time fitted into the rest, their memory did not.
+// Long-running tasks waited in a pool that had lost machines to another pool's
+// peak: the remaining ones had enough CPU for them but not enough memory.
 BOOST_AUTO_TEST_CASE(PoolKeepsTheMemoryThatItNeeds) {
   add("a", Hot);
   for (const char *Name : {"b", "c", "d", "e"})
@@ -147,8 +147,8 @@
   BOOST_TEST(plan().empty());
 }
 
-// A task that lasts stays away while all of its pool's machines have some room,
-// none enough for it, and together more than the pool asks for.
+// A long-running task was not started because no machine of its pool had enough
+// free resources for it, while their total exceeded the pool's demand.
 BOOST_AUTO_TEST_CASE(TaskThatLastsAndFitsNowhereBringsAMachine) {
   for (const char *Name : {"a", "b"}) {
     add(Name, Hot);
@@ -167,7 +167,8 @@
   BOOST_TEST(plan().empty());
 }
 
-// No machine would do: each pass would send one more.
+// No machine is large enough for the task; without this check each pass would
+// order one more.
 BOOST_AUTO_TEST_CASE(TaskThatNoMachineHoldsBringsNone) {
   add("a", Hot);
   Machines_[MachineId("a")].FiniteRuns_ = 1;
@@ -177,8 +178,8 @@
   BOOST_TEST(plan().empty());
 }
 
-// A machine that was on its way to the pool counts as there, or each pass
-// would send more until the first has arrived.
+// A machine that is being moved to the pool counts as available. Otherwise each
+// pass would order more until the first one arrives.
 BOOST_AUTO_TEST_CASE(MachinesOnTheirWayCount) {
   add("a", Hot);
   add("b", Hot);
@@ -190,9 +191,9 @@
   BOOST_TEST(plan().empty());
 }
 
-// A pool begins its turn with what a peak elsewhere has left of it: its
-// machines stood idle there until someone asked for them, and then took a
-// move's time.
+// Guards against a pool starting its peak with too few machines because its own
+// ones are idle in another pool, where an earlier peak needed them, and have to
+// be moved first.
 BOOST_AUTO_TEST_CASE(MachinesGoHomeAfterAPeakElsewhere) {
   for (const char *Name : {"a", "b"})
     add(Name, Hot);
--- a/src/capacity/tests/upkeepplannertest.cpp
+++ b/src/capacity/tests/upkeepplannertest.cpp
@@ -25,8 +25,8 @@
   return {WorkerId("w" + std::to_string(I)), 1};
 }
 
-/// Three machines with one standing task each, all at work, and a wave that
-/// asks for all of them.
+/// Three machines with one long-running task each, all running at full speed,
+/// and a wave that covers all of them.
 struct Fixture {
   Fixture() : Planner_(Table_, 2000ms) {
     jobs::JobSpec Spec;
@@ -65,7 +65,7 @@
     Machines_[machine(I)].LongRunningRuns_ = {Run};
   }
 
-  /// Passes until the machines that are held back are known to be so.
+  /// Runs one pass and marks the machines that it cordons.
   UpkeepPlan plan(TimePoint Now = Start) {
     UpkeepPlan Plan = Planner_.plan(Machines_, Waves_, {}, Now);
     for (auto &[Id, View] : Machines_)
@@ -90,8 +90,9 @@
   BOOST_TEST(plan().Evacuate_.empty());
 }
 
-// A standing service loses two of three tasks at once: one worker has gone
-// dark, nobody hears so from its last report, and a wave then stops another.
+// Guards against a service losing two of three tasks at once: a worker stops
+// responding, its last report still shows its task as running, and a wave stops
+// another one.
 BOOST_AUTO_TEST_CASE(TaskOnASilentWorkerCountsAsAway) {
   Table_.resetProgress(worker(2));
   Machines_[machine(2)].Usable_ = false;
@@ -117,7 +118,7 @@
   const MachineId Gone = Plan.Orders_[0].Machine_;
   Machines_[Gone].InTransition_ = true;
   BOOST_TEST(plan(Start + 59s).Orders_.empty());
-  // Down by the platform's word, after the order was acknowledged.
+  // The platform lists it as down after it acknowledged the order.
   Waves_[WaveNumber(1)].Started_.insert(Gone);
   Machines_[Gone].InTransition_ = false;
   Machines_[Gone].Record_.State_ = MachineState::Upkeep;
--- a/src/capacity/upkeepplanner.h
+++ b/src/capacity/upkeepplanner.h
@@ -7,51 +7,58 @@
 
 namespace laburnumspread::capacity {
 
-/// Progress of one wave of upkeep.
+/// Progress of one upkeep wave.
 struct WaveRow {
   WaveRecord Record_;
   TimePoint FirstSeenAt_{};
-  /// Machines whose upkeep has begun, by the platform's word.
+  /// Machines whose upkeep has started, as confirmed by the platform.
   std::set<MachineId> Started_;
-  /// Whether the operator has been told that it is done.
+  /// Whether the wave has been reported to the operator as done, and as
+  /// running.
   bool DoneReported_ = false;
   bool RunningReported_ = false;
 };
 
+/// Order to start the upkeep of a machine.
 struct UpkeepOrder {
   WaveNumber Wave_;
   MachineId Machine_;
 };
 
+/// Result of one planning pass.
 struct UpkeepPlan {
-  /// Machines that are to get no new tasks.
+  /// Machines that must not get new tasks.
   std::set<MachineId> Cordon_;
-  /// Standing runs to stop now, so that they start elsewhere.
+  /// Long-running runs to stop now, so that they restart on other machines.
   std::vector<jobs::RunName> Evacuate_;
   std::vector<UpkeepOrder> Orders_;
-  /// Waves of which every machine has begun its upkeep and is back.
+  /// Waves whose machines have all had their upkeep and are up again.
   std::vector<WaveNumber> Done_;
 };
 
-/// How many tasks of a step are away: not at work at full speed.
+/// Returns the number of tasks of the step that are unavailable: without a
+/// confirmed run that works at full speed and is not being stopped.
 std::uint32_t unavailableTasks(const jobs::StepRow &Step);
 
-/// Plans all waves. A machine is emptied before its upkeep: finite tasks end by
-/// themselves, standing tasks are moved one after the other, never more of a
-/// step at a time than may be missed. The next machines are chosen while others
+/// Plans all upkeep waves. A machine is drained before its upkeep: finite tasks
+/// run to completion, long-running tasks are moved within the limit of
+/// unavailable tasks of their step. The next machines are drained while others
 /// are down, so that they are empty when their turn comes.
 class UpkeepPlanner {
 public:
-  /// Share of a pool's machines that may be held back or down at a time, over
-  /// all waves: what is left must carry the load. A pool always gives one.
+  /// Maximum share of a pool's machines that can be cordoned or down at a time,
+  /// over all waves: the others must carry the load. One machine is always
+  /// allowed.
   static constexpr double MaxPoolShare = 0.34;
-  /// When a wave has this part of its time left for each machine still to go,
-  /// the share of the pool no longer binds.
+  /// A wave ignores MaxPoolShare once the time it has left is less than this
+  /// factor times twice the upkeep time of its remaining rounds.
   static constexpr double UrgentFactor = 1.5;
 
+  /// \p UpkeepTime is the expected duration of the upkeep of one machine.
   UpkeepPlanner(const jobs::CellTable &Table, Duration UpkeepTime)
       : Table_(Table), UpkeepTime_(UpkeepTime) {}
 
+  /// Plans one pass. Machines in the pools of \p Standby are off.
   UpkeepPlan plan(const std::map<MachineId, MachineView> &Machines,
                   const std::map<WaveNumber, WaveRow> &Waves,
                   const std::set<PoolName> &Standby, TimePoint Now) const;
