--- a/src/jobs/cellconfig.h
+++ b/src/jobs/cellconfig.h
@@ -12,46 +12,52 @@
 
 using ConfigVersion = framework::ids::StrongNumber<struct ConfigVersionTag>;
 
-/// What the advisor of a queue costs, and how long its word holds.
+/// Response times of a queue's advisor, and the lifetime of its answers.
 struct AdviceTerms {
+  /// Time that the advisor takes per request.
   Duration DecisionTime_{};
+  /// Time that it takes in addition for each worker named in the request.
   Duration TimePerWorker_{};
+  /// Lifetime of an answer.
   Duration ValidFor_{};
 };
 
+/// Configuration of a queue.
 struct QueueConfig {
   QueueName Name_;
   std::string Host_;
   std::string PathPrefix_;
   PoolName Pool_;
-  /// 0 comes first.
+  /// 0 is the highest priority.
   std::int64_t Priority_ = 0;
   std::uint32_t MaxAttempts_ = 3;
-  /// A job is in time within this many times its longest chain of work and
-  /// TargetLatency_ more.
+  /// A job's deadline is Stretch_ times its critical path plus TargetLatency_
+  /// after its acceptance.
   double Stretch_ = 1;
   Duration TargetLatency_{};
   bool Public_ = false;
   std::optional<AdviceTerms> Advice_;
 };
 
+/// Configuration of a pool.
 struct PoolConfig {
   PoolName Name_;
   /// The pool's machines are off and cost nothing.
   bool Standby_ = false;
-  /// Its workers refuse what they have no room for.
+  /// Its workers refuse tasks that exceed their free resources.
   bool AdmissionCheck_ = false;
 };
 
+/// Configuration of a workspace.
 struct WorkspaceConfig {
   WorkspaceName Name_;
   std::vector<std::string> Keys_;
   double Weight_ = 1;
-  /// Bound on what runs over all workers; 0 for none.
+  /// Upper limit on the resources of its runs over all workers; 0 for no limit.
   Resources MaxAllowed_;
 };
 
-/// The operator's configuration, as far as jobs need it.
+/// The part of the operator's configuration that concerns jobs.
 struct CellConfig {
   ConfigVersion Version_;
   std::vector<QueueConfig> Queues_;
@@ -61,8 +67,10 @@
   std::uint64_t MaxBodyBytes_ = 1024 * 1024;
   std::size_t MaxHeaderBytes_ = 16 * 1024;
 
+  /// Returns the queue, or nullptr if it does not exist.
   const QueueConfig *find(const QueueName &Name) const;
-  /// The queue of a host with the longest prefix that the path begins with.
+  /// Returns the queue of the host with the longest matching path prefix, or
+  /// nullptr if none matches.
   const QueueConfig *route(std::string_view Host, std::string_view Path) const;
   /// Returns the workspace that owns the key, an empty name if the key is
   /// unknown and the queue is public, or nullopt if access is denied.
--- a/src/jobs/celltable.h
+++ b/src/jobs/celltable.h
@@ -12,22 +12,24 @@
 
 namespace laburnumspread::jobs {
 
-/// A run that may still be at work somewhere.
+/// A run that may still be executing on a worker.
 struct LiveRun {
   RunNumber Run_;
   WorkerIncarnation Worker_;
   /// Whether the worker has confirmed the start, or listed the run.
   bool Confirmed_ = false;
-  /// Whether it is to be stopped, and since when by this process's clock.
+  /// Whether it is being stopped, and since when by this process's clock.
   bool Stopping_ = false;
   TimePoint StoppingSince_{};
-  /// Whether the log tells that it is at work though it is to be stopped.
+  /// Whether it has been logged that the run continues although it is being
+  /// stopped.
   bool StillRunningLogged_ = false;
-  /// Share of full speed at which the worker says it works, in percent.
+  /// Speed that the worker reported last, in percent of full speed.
   int Percent_ = 0;
   TimePoint StartedAt_{};
 };
 
+/// State of one task.
 struct TaskRow {
   bool Done_ = false;
   std::uint32_t Failures_ = 0;
@@ -35,13 +37,13 @@
   Checkpoint Saved_;
   /// More than one only for speculative steps.
   std::vector<LiveRun> Runs_;
-  /// Not to be started again before, after a failure.
+  /// Earliest time of the next start, after a failure.
   TimePoint NotBefore_{};
 
   bool idle() const { return !Done_ && Runs_.empty(); }
 };
 
-/// One step of one occurrence of a job.
+/// State of one step of one occurrence of a job.
 struct StepRow {
   std::vector<TaskRow> Tasks_;
   std::uint32_t DoneCount_ = 0;
@@ -51,6 +53,7 @@
   bool done() const { return DoneCount_ == Tasks_.size(); }
 };
 
+/// State of one occurrence of a job.
 struct OccurrenceRow {
   std::vector<StepRow> Steps_;
   std::uint32_t StepsDone_ = 0;
@@ -58,6 +61,7 @@
   bool done() const { return StepsDone_ == Steps_.size(); }
 };
 
+/// State of one job.
 struct JobRow {
   JobSpec Spec_;
   JobState State_ = JobState::Pending;
@@ -74,44 +78,46 @@
   }
 };
 
-/// Orders for a machine, over all holders.
+/// The orders given for a machine, by this leader and earlier ones.
 struct MachineOrderRow {
-  /// The pool from which it was first taken.
+  /// The pool that the machine was in before its first order.
   fleet::PoolName HomePool_;
-  /// Least time that has passed since the last order left, as far as the
-  /// journal tells.
+  /// Lower bound on the time since the last order was sent, computed from the
+  /// journal.
   Duration SinceLastOrder_{};
-  /// The order may not have left yet when the last entry was written.
+  /// Whether the order may still have been unsent when the latest journal entry
+  /// was written.
   bool SendUnconfirmed_ = true;
 };
 
-/// What a worker has been given.
+/// Runs of a worker and the resources allocated to them.
 struct WorkerUsage {
   Resources Used_;
   std::set<RunName> Runs_;
 };
 
-/// The tables of a cell: its jobs, their tasks, and what is taken of each
-/// worker's room and each workspace's upper limit. Everything that may still
-/// be running counts, started, in doubt or being stopped. Changed by events
-/// alone, so that replaying a journal gives the same tables.
+/// State of a cell: its jobs, their tasks, and the resources allocated per
+/// worker and per workspace. Every run that may still be executing counts:
+/// confirmed ones, unconfirmed ones, and those being stopped. The state changes
+/// only through events, so that replaying the journal reproduces it.
 class CellTable {
 public:
-  /// Attempts of a task that the queue allows; asked when a run has failed.
+  /// Returns the maximum number of attempts per task of a queue; called when a
+  /// run has failed.
   using AttemptLimit = std::function<std::uint32_t(const QueueName &)>;
 
-  /// Applies one event. Events about jobs or runs that are unknown change
-  /// nothing.
+  /// Applies one event. Events of unknown jobs or runs have no effect.
   void apply(const Event &Item, TimePoint Now);
 
   void setAttemptLimit(AttemptLimit Limit) { AttemptLimit_ = std::move(Limit); }
 
-  /// Completes an event that is to be applied and stored. The failure: a replay
-  /// that counts a failed run by the limit of its own time tells another state
-  /// of the job than callers have heard. The limit in the event is enough, as
-  /// nothing else that an event does depends on the configuration.
+  /// Sets the attempt limit of an event that is about to be applied and stored.
+  /// Without it, a replay would apply the limit configured at that time to a
+  /// failed run, and could yield another job state than callers have been told.
+  /// No other effect of an event depends on the configuration.
   void recordAttemptLimit(Event &Item) const;
 
+  /// The lookups return nullptr if the item is unknown.
   const JobRow *find(const JobId &Job) const;
   const TaskRow *find(const TaskName &Task) const;
   const LiveRun *find(const RunName &Run) const;
@@ -119,24 +125,27 @@
   TaskRow *findTask(const TaskName &Task);
   const StepSpec *specOf(const TaskName &Task) const;
 
-  /// Jobs that have not ended, in the order in which they came.
+  /// Jobs that have not ended, in the order of their acceptance.
   const std::map<std::uint64_t, JobId> &open() const { return Open_; }
-  /// Jobs that have ended at \p Since or later and are not forgotten.
+  /// Jobs that ended at \p Since or later and have not been removed, newest
+  /// first.
   std::vector<JobId> endedSince(TimePoint Since) const;
   const std::map<JobId, JobRow> &jobs() const { return Jobs_; }
   const std::map<WorkerIncarnation, WorkerUsage> &workers() const {
     return Workers_;
   }
   const WorkerUsage *usageOf(const WorkerIncarnation &Worker) const;
-  /// Since when a live run is to be gone: its job has ended, or it is being
-  /// stopped for another reason. Empty when it is wanted, or not live.
+  /// Returns since when a live run is unwanted, because its job has ended or it
+  /// is being stopped for another reason. Returns nullopt if the run is wanted
+  /// or not live.
   std::optional<TimePoint> unwantedSince(const RunName &Run) const;
+  /// Resources of all live runs of the workspace.
   Resources usedBy(const WorkspaceName &Workspace) const;
 
-  /// Jobs of the queue for which no task has ever been started.
+  /// Number of open jobs of the queue of which no task has been started yet.
   std::uint64_t waiting(const QueueName &Queue) const;
 
-  /// Machines whose upkeep has begun, by wave.
+  /// Machines whose upkeep has started, by wave.
   const std::map<WaveNumber, std::set<MachineId>> &upkeep() const {
     return Upkeep_;
   }
@@ -145,19 +154,24 @@
   const std::map<MachineId, MachineOrderRow> &machineOrders() const {
     return MachineOrders_;
   }
-  /// While the journal is read: time that passed before the next entry.
+  /// Called while the journal is replayed, with the time that passed before the
+  /// next entry; adds it to SinceLastOrder_ of the machine orders.
   void advanceTime(Duration Passed);
 
-  /// Forgets jobs that ended before \p Before and have nothing live.
+  /// Removes jobs that ended before \p Before, up to the first one that still
+  /// has live runs.
   void forgetEnded(TimePoint Before);
 
-  /// Puts back one job of a snapshot.
+  /// Adds one job from a snapshot. Has no effect if the job is known.
   void restore(JobRow Row, TimePoint Now);
 
-  /// The worker does not answer: what it said of its runs' progress is old.
+  /// Sets the reported speed of the worker's runs to 0, because its last report
+  /// is outdated: the worker does not respond.
   void resetProgress(const WorkerIncarnation &Worker);
 
-  /// Sets the age of open jobs after a replay, from the wall clock.
+  /// Recomputes the acceptance times of open jobs after a replay, by the wall
+  /// clock (Unix milliseconds). Ages are limited to one hour, in case a clock
+  /// was set wrongly.
   void restoreAcceptTimes(std::int64_t WallMs, TimePoint Now);
 
 private:
--- a/src/jobs/eventcodec.h
+++ b/src/jobs/eventcodec.h
@@ -10,16 +10,20 @@
 
 namespace laburnumspread::jobs {
 
-/// One entry of the journal: events that were committed together.
+/// Encodes one journal entry: events that are committed together.
 std::string encodeGroup(const std::vector<Event> &Events,
                         const GroupStamp &Stamp = {});
+/// Decodes a journal entry. Returns DataLoss if the bytes are not one. Events
+/// of unknown kinds are skipped.
 absl::StatusOr<EventGroup> decodeGroup(std::string_view Bytes);
 
-/// The table as parts of at most about \p PartBytes each. Of ended jobs only
-/// the name, the state and what is still live are kept.
+/// Encodes the table in parts of about \p PartBytes bytes each. A part ends
+/// with the job that reaches this size. Ended jobs without live runs are stored
+/// without their steps and tasks.
 std::vector<std::string> encodeSnapshot(const CellTable &Table,
                                         std::size_t PartBytes);
-/// Adds the jobs of one part to \p Into.
+/// Adds the content of one part to \p Into. Returns DataLoss if the bytes are
+/// not a part of a snapshot.
 absl::Status decodeSnapshot(std::string_view Bytes, TimePoint Now,
                             CellTable &Into);
 
--- a/src/jobs/events.h
+++ b/src/jobs/events.h
@@ -6,58 +6,60 @@
 
 namespace laburnumspread::jobs {
 
-/// A job was taken on.
+/// A job was accepted.
 struct JobAccepted {
   JobSpec Spec_;
 };
 
-/// A task is about to be started. Written before the order leaves, so that a
-/// successor knows each worker on which the run may exist.
+/// A task is about to be started. Written before the start is sent, so that the
+/// next leader knows every worker on which the run may exist.
 struct RunIntended {
   RunName Run_;
   WorkerIncarnation Worker_;
 };
 
-/// A run is over for good: it works no more and can never start again.
+/// A run has ended: it no longer executes and can never start again.
 struct RunEnded {
   RunName Run_;
   EndKind Kind_ = EndKind::Lost;
   Checkpoint Saved_;
-  /// Attempts that the queue allowed when it ended, by which a failure counts
-  /// at every replay; 0 when the entry does not tell.
+  /// The queue's attempt limit when the run ended; every replay applies it to a
+  /// failure. 0 in entries written before the field existed.
   std::uint32_t AttemptLimit_ = 0;
 };
 
+/// A caller has cancelled a job.
 struct JobCancelled {
   JobId Job_;
 };
 
-/// The upkeep of a machine has begun, as a wave asks.
+/// The upkeep of a machine has started as part of a wave.
 struct UpkeepBegun {
   WaveNumber Wave_;
   MachineId Machine_;
 };
 
-/// An order for a machine is about to leave. Written before it does, so that a
-/// successor knows which machines its orders must leave alone for a while, and
-/// from which pool each machine was first taken.
+/// An order for a machine is about to be sent. Written before it is sent, so
+/// that the next leader knows which machines it must not order for a while, and
+/// the home pool of each machine.
 struct MachineOrdered {
   MachineId Machine_;
   fleet::PoolName From_;
 };
 
-/// What changes a cell. The cell's state is the outcome of its events in order.
+/// A change of a cell's state. The state results from applying the cell's
+/// events in order.
 using Event = std::variant<JobAccepted, RunIntended, RunEnded, JobCancelled,
                            UpkeepBegun, MachineOrdered>;
 
-/// When a group of events was written: how long after the takeover of the
-/// holder with this token, by that holder's own steady clock.
+/// When a group of events was written: the fencing token of the leader that
+/// wrote it, and the time since its takeover by its own steady clock.
 struct GroupStamp {
   FencingToken Token_;
   Duration SinceTakeover_{};
 };
 
-/// A group as it was read from the journal.
+/// A journal entry: events that were committed together, and their stamp.
 struct EventGroup {
   std::vector<Event> Events_;
   GroupStamp Stamp_;
--- a/src/jobs/internal/celltable.cpp
+++ b/src/jobs/internal/celltable.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Attempts of a task when the queue's own bound is not known.
+/// Attempt limit when the queue's own limit is unknown.
 constexpr std::uint32_t DefaultAttempts = 3;
-/// Bound on what a clock that was set wrongly can make of a job's age.
+/// Upper limit on the age of a job, in case a clock was set wrongly.
 constexpr std::int64_t LongestAgeMs = 3'600'000;
 
 OccurrenceRow emptyOccurrence(const JobSpec &Spec) {
@@ -142,7 +142,7 @@
 void CellTable::applyEvent(const RunIntended &Item, TimePoint Now) {
   JobRow *Job = mutableJob(Item.Run_.Task_.Job_);
   TaskRow *Task = findTask(Item.Run_.Task_);
-  // A run that was seen before is replayed on top of a later snapshot.
+  // The journal is replayed on top of a later snapshot that holds the run.
   if (!Job || !Task || Item.Run_.Run_ <= Task->LastRun_)
     return;
   LiveRun Live;
@@ -190,7 +190,7 @@
                Now);
 }
 
-/// One member's good end stands for all members of that run.
+/// A gang is done as a whole when one member reports success.
 void CellTable::gangDone(JobRow &Job, const RunName &Run, TimePoint Now) {
   const TaskName &Name = Run.Task_;
   auto &Tasks = Job.Occurrences_[Name.Occurrence_].Steps_[Name.Step_].Tasks_;
@@ -241,8 +241,8 @@
 
 void CellTable::advanceTime(Duration Passed) {
   for (auto &[Machine, Order] : MachineOrders_) {
-    // The order left only when its own entry was stored, which the next one
-    // proves; time counts from there.
+    // An order is sent after its entry has been stored, which only the next
+    // entry proves. So time counts from the next entry on.
     if (!Order.SendUnconfirmed_)
       Order.SinceLastOrder_ += Passed;
     Order.SendUnconfirmed_ = false;
@@ -258,7 +258,7 @@
   if (Order != Order_.end())
     Open_.erase(Order->second);
   Ended_.emplace_back(Now, Job.Spec_.Id_);
-  // Nothing of an ended job is started again, so its payload is needless.
+  // No task of an ended job is started again, so the payload is not needed.
   Job.Spec_.Payload_.clear();
   Job.Spec_.Payload_.shrink_to_fit();
 }
@@ -302,8 +302,8 @@
     return;
   applyEvent(JobAccepted{Row.Spec_}, Now);
   JobRow &Put = Jobs_.at(Id);
-  // First of all: a job that failed or was cancelled beside its last tasks'
-  // ends is not to be closed as done by putting these back.
+  // Must precede the tasks: otherwise a job that failed or was cancelled while
+  // its last tasks ended would be closed as done when they are restored.
   if (Row.ended())
     endJob(Put, Row.State_, Now);
   for (std::uint32_t K = 0; K < Row.Occurrences_.size(); ++K)
--- a/src/jobs/internal/eventcodec.cpp
+++ b/src/jobs/internal/eventcodec.cpp
@@ -88,8 +88,8 @@
   return {JobId(From.job()), From.occurrence(), From.step(), From.index()};
 }
 
-/// An end of a kind that this program does not know is taken for the one that
-/// claims least: the run is over, the task is not done.
+/// Maps kinds unknown to this version to Lost, which claims least: the run is
+/// over, the task is not done.
 EndKind readEnd(std::uint32_t Value) {
   return Value <= static_cast<std::uint32_t>(EndKind::Lost)
              ? static_cast<EndKind>(Value)
@@ -175,6 +175,7 @@
   return std::nullopt;
 }
 
+/// Whether the task has never been started and need not be stored.
 bool untouched(const TaskRow &Task) {
   return !Task.Done_ && Task.LastRun_.value() == 0 && Task.Failures_ == 0;
 }
@@ -199,7 +200,7 @@
   write(From.Spec_, *To.mutable_job());
   To.set_state(static_cast<std::uint32_t>(From.State_));
   if (From.ended() && From.LiveRuns_ == 0) {
-    // Only the state will be asked for.
+    // Only the state of such a job can still be queried.
     To.mutable_job()->clear_steps();
     return;
   }
--- a/src/jobs/jobtypes.h
+++ b/src/jobs/jobtypes.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-/// Jobs: what callers hand in, and what is known of its execution.
+/// Jobs as submitted by callers, and the state of their execution.
 namespace laburnumspread::jobs {
 
 using framework::clock::Duration;
@@ -21,18 +21,21 @@
 using ImageName = framework::ids::StrongName<struct ImageNameTag>;
 using Label = framework::ids::StrongName<struct LabelTag>;
 using Checkpoint = framework::ids::StrongName<struct CheckpointTag>;
-/// Name of a worker process on a VM. A process that starts again may keep it.
+/// Name of a worker process on a VM. A restarted process can have the same
+/// name.
 using WorkerId = framework::ids::StrongName<struct WorkerIdTag>;
 using MachineId = framework::ids::StrongName<struct MachineIdTag>;
 using WaveNumber = framework::ids::StrongNumber<struct WaveNumberTag>;
-/// Numbers the starts of one task, from 1.
+/// Number of a start of a task, from 1.
 using RunNumber = framework::ids::StrongNumber<struct RunNumberTag>;
-/// Revision at which the scheduler's holder took its leadership; grows with
-/// every takeover. Workers refuse orders with a lower one.
+/// Fencing token: the store revision at which the cell's leader won its
+/// leadership. It grows with every takeover, and workers refuse orders with a
+/// lower one.
 using FencingToken = framework::ids::StrongNumber<struct FencingTokenTag>;
 
-/// Resources that a task asks for, or that a worker has room for.
+/// Resources that a task requires, or that a worker offers.
 struct Resources {
+  /// Thousandths of a CPU core.
   std::int64_t MilliCpus_ = 0;
   std::int64_t MemoryMb_ = 0;
   std::int64_t Accelerators_ = 0;
@@ -62,49 +65,51 @@
   auto operator<=>(const Resources &) const = default;
 };
 
-/// One life of a worker process: a restart under the same id is another life,
-/// which knows nothing of what ran before.
+/// One incarnation of a worker process. A restart under the same id is another
+/// incarnation, which has no knowledge of earlier runs.
 struct WorkerIncarnation {
   WorkerId Id_;
-  /// Start of the process in Unix milliseconds, by its own word.
+  /// Start time that the process reports, in Unix milliseconds.
   std::int64_t StartedMs_ = 0;
 
   auto operator<=>(const WorkerIncarnation &) const = default;
 };
 
-/// One step of a job: tasks that are alike.
+/// One step of a job: a number of identical tasks.
 struct StepSpec {
   std::uint32_t Count_ = 1;
   Resources PerTask_;
-  /// The caller's estimate of one task's run time; may be far off.
+  /// The caller's estimate of the run time of one task; can be wrong by several
+  /// times.
   Duration Estimate_{};
-  /// Steps whose tasks must all be done before a task of this one starts.
+  /// Indexes of the steps that must be done before this one can start.
   std::vector<std::uint32_t> After_;
   bool Checkpointing_ = false;
-  /// All tasks work only together.
+  /// The tasks only make progress if all of them run at the same time.
   bool Gang_ = false;
   /// Tasks are slow when they run on more than one rack.
   bool TightlyCoupled_ = false;
-  /// Label that the worker must have; empty for none.
+  /// Label that a worker must have; empty for none.
   Label Requirement_;
-  /// Rack where the input lies; empty for none.
+  /// Rack of the input data; empty for none.
   Label DataRack_;
-  /// Most tasks of the step on one worker; 0 for no bound.
+  /// Maximum number of tasks of the step on one worker; 0 for no limit.
   std::uint32_t AntiAffinity_ = 0;
-  /// Copies may run in parallel.
+  /// Several runs of a task may execute in parallel.
   bool Speculative_ = false;
-  /// The tasks serve until the job is cancelled.
+  /// The tasks are services that run until the job is cancelled.
   bool LongRunning_ = false;
   ImageName Image_;
-  /// Tail latency that the users of a serving task are promised; 0 for none.
+  /// Target of a serving task's tail latency, in milliseconds; 0 for none.
   std::int64_t TargetMs_ = 0;
-  /// Takes only processor time that others leave; its MilliCpus_ do not count
-  /// against a worker's room.
+  /// The tasks use only CPU time that other tasks leave idle; their MilliCpus_
+  /// are not allocated on the worker.
   bool Filler_ = false;
-  /// Most tasks that may be away at the same time by our own doing.
+  /// Maximum number of tasks that planned work may make unavailable at the same
+  /// time.
   std::uint32_t MaxUnavailable_ = 0;
 
-  /// What one task takes of a worker's room.
+  /// Returns the resources that one task allocates on a worker.
   Resources demand() const {
     Resources Result = PerTask_;
     if (Filler_)
@@ -113,20 +118,21 @@
   }
 };
 
-/// A job as the caller described it.
+/// A job as submitted by the caller.
 struct JobSpec {
   JobId Id_;
   QueueName Queue_;
   WorkspaceName Workspace_;
-  /// Passed through to the workers.
+  /// Passed to the workers unchanged.
   std::string Payload_;
   std::vector<StepSpec> Steps_;
-  /// How often the steps run; 0 for once, at once.
+  /// Number of scheduled occurrences; 0 for a job that runs once, immediately.
   std::uint32_t Occurrences_ = 0;
   /// Unix milliseconds of the first occurrence.
   std::int64_t FirstDueMs_ = 0;
   Duration Interval_{};
-  /// When the job was taken, in Unix milliseconds of the entry that took it.
+  /// When the job was accepted, in Unix milliseconds by the clock of the entry
+  /// that accepted it.
   std::int64_t AcceptedMs_ = 0;
 
   std::uint32_t occurrenceCount() const {
@@ -134,7 +140,7 @@
   }
 };
 
-/// Name of one task.
+/// Identifies a task of a job.
 struct TaskName {
   JobId Job_;
   std::uint32_t Occurrence_ = 0;
@@ -145,9 +151,11 @@
   std::string str() const;
 };
 
-/// Reads "job.occurrence.step.index".
+/// Parses "job.occurrence.step.index". Returns nullopt if the text is
+/// malformed.
 std::optional<TaskName> parseTaskName(std::string_view Text);
 
+/// Identifies a run of a task.
 struct RunName {
   TaskName Task_;
   RunNumber Run_;
@@ -158,18 +166,19 @@
 /// How a run has ended.
 enum class EndKind {
   Done,
-  /// By its own fault or the worker's; counts as an attempt.
+  /// Failed by a fault of the task or of the worker; the only kind that counts
+  /// as an attempt.
   Failed,
   Stopped,
-  /// The worker's lease ran out.
+  /// The worker ended it because the worker's lease expired.
   LeaseExpired,
   /// Another member of the gang ended.
   GangMemberEnded,
-  /// The rest of the gang did not come.
+  /// The other members of the gang did not start.
   GangIncomplete,
   /// The worker refused to start it: it never ran.
   Refused,
-  /// The worker's life is over, or its lease ended unseen.
+  /// The worker's incarnation ended, or its lease expired without a report.
   Lost,
 };
 std::string_view nameOf(EndKind Kind);
--- a/src/jobs/tests/celltabletest.cpp
+++ b/src/jobs/tests/celltabletest.cpp
@@ -104,9 +104,9 @@
   BOOST_TEST(!Table_.find(Job));
 }
 
-// A successor reads a snapshot that already holds the newest events, and then
-// the journal with those events once more. If they counted twice, a task would
-// run twice at a time or a job would fail too early.
+// The next leader can read a snapshot that already contains the newest events
+// and then replay them from the journal. If they were counted twice, a task
+// would run twice at a time or a job would fail too early.
 BOOST_AUTO_TEST_CASE(ReplayOnTopOfALaterSnapshotChangesNothing) {
   RunEnded Failure;
   Failure.Run_ = runOf(0, 0, 1);
@@ -149,10 +149,10 @@
   BOOST_TEST(Again.usageOf(Worker)->Runs_.size() == 1u);
 }
 
-// A caller hears that its job is cancelled, and after a takeover that it is
-// done. A member of a gang came to its end beside the cancel, which stands for
-// all members, while another one was still live; the snapshot's tasks were put
-// back before the job's state, and the last of them closed it as done.
+// Guards against a cancelled job that is reported as done after a takeover. A
+// gang member succeeded just as the job was cancelled, which marks all members
+// as done, while another member was still live. Restoring the snapshot's tasks
+// before the job's state closed the job as done.
 BOOST_AUTO_TEST_CASE(CancelledGangWithAllTasksDoneStaysCancelled) {
   JobSpec Spec = twoSteps();
   Spec.Id_ = JobId("fedcba9876543210");
