--- a/src/journal/internal/leader.cpp
+++ b/src/journal/internal/leader.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Width of an index in a key: keys sort as their indexes do.
+/// Indexes in keys are zero-padded to this width so that keys sort by index.
 constexpr int IndexDigits = 12;
 
 std::string padded(std::uint64_t Index) {
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -7,6 +7,7 @@
 
 namespace laburnumspread::journal {
 
+/// Counters of one journal, for metrics.
 struct JournalCounters {
   std::uint64_t Commits_ = 0;
   std::uint64_t Retries_ = 0;
@@ -14,12 +15,12 @@
   std::uint64_t Bytes_ = 0;
 };
 
-/// How much time passed between the entries of a journal, by the steady clocks
-/// of those who wrote them. The time between two holders is not counted but
-/// for what the later one measured itself, so the sum is never too long.
+/// Computes the time that passed between journal entries, by the steady clocks
+/// of the leaders that wrote them. Of the time between two leaders, only the
+/// part since the later one's takeover counts, so the sum is a lower bound.
 class JournalClock {
 public:
-  /// Time since the entry before, at least.
+  /// Returns a lower bound on the time since the previous entry.
   Duration advance(const jobs::GroupStamp &Stamp) {
     const Duration Before =
         Stamp.Token_ == Last_.Token_ ? Last_.SinceTakeover_ : Duration::zero();
@@ -33,34 +34,35 @@
   jobs::GroupStamp Last_;
 };
 
-/// The journal of one cell under one leadership. Each entry is a key of its own
-/// that is created only while the head key is the holder's, so that a write of
-/// a former holder, or one that was delayed, can never take effect. A write
-/// without an answer is sent again as it was: either of the two creates the
-/// key, and the content is the same. It is sent only under the leadership that
-/// was held when the journal was made: the tables of the next one of this
-/// process were read without it.
+/// The journal of one cell during one leadership term. Each entry is a key of
+/// its own, created on the condition that the head key is unchanged, so that a
+/// delayed write or a write of a former leader never takes effect. A write
+/// without an answer is repeated unchanged: only one of the two can create the
+/// key, and their content is the same. Writes are sent only during the term in
+/// which the journal was created, because the tables of this process's next
+/// term have been loaded without them.
 template <store::KeyValueStore Store> class Journal {
 public:
   static constexpr std::size_t SnapshotPartBytes = 256 * 1024;
-  /// Entries after which a snapshot shortens the next replay: a page of the
-  /// store's list holds about 500 items.
+  /// Number of entries after which a snapshot is written to shorten the next
+  /// replay. A page of the store's range results holds about 500 items.
   static constexpr std::uint64_t EntriesPerSnapshot = 300;
   static constexpr std::size_t KeysPerTransaction = 30;
-  /// Bounds of the wait for an answer. The store answers in a few
-  /// milliseconds, and sixty times as slow when it is in trouble; an entry's
-  /// own pauses last up to a tenth of a second. All entries behind a lost
-  /// answer wait for it.
+  /// Limits of the adaptive answer timeout. The store answers within a few
+  /// milliseconds, and 60 times slower when it is overloaded; an entry's own
+  /// pauses last up to 100 ms. All entries behind a lost answer wait for it.
   static constexpr Duration MinAnswerTimeout = std::chrono::milliseconds(120);
   static constexpr Duration MaxAnswerTimeout = std::chrono::milliseconds(1200);
-  /// After a refusal: nothing was done, and asking at once would be refused.
+  /// Pause after a refused write: it had no effect, and an immediate retry
+  /// would be refused as well.
   static constexpr Duration RetryPause = std::chrono::milliseconds(50);
 
   Journal(Store &S, CellKeys Keys, Leadership<Store> &Lead)
       : Store_(S), Keys_(std::move(Keys)), Lead_(Lead), Term_(Lead.term()) {}
 
-  /// Reads the whole state into \p Into. Called once after a takeover, when
-  /// nobody else can write any more.
+  /// Loads the snapshot and replays the journal into \p Into. Called once after
+  /// a takeover, when no other process can write any more. Returns DataLoss if
+  /// a part or an entry is missing or malformed, or the store's error.
   absl::Status load(jobs::CellTable &Into, TimePoint Now) {
     Next_ = 1;
     const auto Head =
@@ -81,8 +83,8 @@
     return loadLog(Into, Now);
   }
 
-  /// Appends one entry. Ok once the store has it for good. Aborted when the
-  /// leadership is over: then nobody here knows whether it was written.
+  /// Appends one entry. Returns Ok once the store has persisted it, or Aborted
+  /// if the leadership was lost; it is then unknown whether it was written.
   absl::Status append(const std::vector<jobs::Event> &Events) {
     const std::string Bytes = jobs::encodeGroup(
         Events, {Lead_.token(), SteadyClock().now() - Lead_.startedAt()});
@@ -99,11 +101,14 @@
     return absl::OkStatus();
   }
 
+  /// Whether enough entries have been written since the last snapshot for a new
+  /// one.
   bool snapshotDue() const { return Next_ - Base_.Index_ > EntriesPerSnapshot; }
 
-  /// Writes \p Table as the new base, and removes what it replaces. The table
-  /// holds all committed entries, and may hold later events: replaying those on
-  /// top changes nothing.
+  /// Writes a snapshot of \p Table as the new base and compacts the log:
+  /// removes the entries and the snapshot that it replaces. The table contains
+  /// all committed entries and may contain later events, because replaying
+  /// these on top of the snapshot has no effect.
   absl::Status writeSnapshot(const jobs::CellTable &Table) {
     const Base Old = Base_;
     const std::uint64_t Index = Next_ - 1;
@@ -118,8 +123,8 @@
     }
     const Base Fresh{Index, Parts.size()};
     store::Transaction Txn = fencedTransaction();
-    // A write of an older base that is carried out late must not take the
-    // place of this one: the entries that it counts on are gone by then.
+    // A delayed write of an older base must not replace this one, because the
+    // entries that follow the older base have been removed by then.
     Txn.Compares_.push_back({Keys_.base(), BaseRevision_});
     Txn.Puts_ = {{Keys_.base(), encodeBase(Fresh), 0}};
     const auto Put = commitExactlyOnce(Txn, Keys_.base(), encodeBase(Fresh));
@@ -131,9 +136,8 @@
     return removeCompacted(Old);
   }
 
-  /// Whether a write that was asked for now would not be stored soon: the store
-  /// has refused the one on its way, or owes an answer for much longer than it
-  /// took lately.
+  /// Whether a new write would be delayed: the store has refused the pending
+  /// write, or has not answered it for much longer than recent writes took.
   bool stalled(TimePoint Now) const {
     return PendingSince_ &&
            (Refused_ ||
@@ -143,10 +147,13 @@
 
 private:
   static constexpr Duration MinStallTime = std::chrono::milliseconds(250);
-  /// Weight of the newest write in the usual time: about the last five count.
+  /// Divisor of the moving average of commit times: about the last five writes
+  /// count.
   static constexpr int CommitTimeSmoothing = 5;
   static constexpr Duration LoadTime = std::chrono::milliseconds(2000);
 
+  /// Returns a transaction that applies only while the head key is this
+  /// leader's.
   store::Transaction fencedTransaction() const {
     store::Transaction Txn;
     Txn.Compares_ = {headRevisionIs(Lead_.token())};
@@ -198,7 +205,8 @@
     return absl::OkStatus();
   }
 
-  /// Commits until the outcome is known; the revision of the write.
+  /// Repeats the commit until its outcome is known. Returns the revision of the
+  /// write.
   absl::StatusOr<fleet::Revision>
   commitExactlyOnce(const store::Transaction &Txn, const std::string &Key,
                     const std::string &Value) {
@@ -216,7 +224,7 @@
                    const std::string &Value) {
     store::Transaction Guarded = Txn;
     while (Lead_.holds(Term_)) {
-      // The head may have been written anew since the last try.
+      // The head may have been rewritten since the last attempt.
       const jobs::FencingToken Token = Lead_.token();
       Guarded.Compares_.front() = headRevisionIs(Token);
       const TimePoint Asked = SteadyClock().now();
@@ -245,8 +253,9 @@
     return absl::AbortedError("leadership was lost before the store answered");
   }
 
-  /// The condition did not hold: an earlier try has come through, or the head
-  /// is another's.
+  /// Called when the condition of a write failed: either an earlier attempt has
+  /// succeeded, and its revision is returned, or the head key is another
+  /// leader's, and Aborted is returned.
   absl::StatusOr<fleet::Revision> resolveOutcome(const std::string &Key,
                                                  const std::string &Value) {
     const auto Read =
@@ -256,9 +265,10 @@
     for (const store::KeyValue &Item : Read->Items_)
       if (Item.Key_ == Key && Item.Value_ == Value)
         return Item.ModRevision_;
-    return absl::AbortedError("the cell has another holder");
+    return absl::AbortedError("the cell has another leader");
   }
 
+  /// Removes the former snapshot and the log entries that the new base covers.
   absl::Status removeCompacted(const Base &Old) {
     std::vector<std::string> Keys;
     for (std::uint64_t P = 0; P < Old.Parts_; ++P)
@@ -270,8 +280,8 @@
       const std::size_t End = std::min(At + KeysPerTransaction, Keys.size());
       Txn.Deletes_.assign(Keys.begin() + At, Keys.begin() + End);
       if (!Lead_.holds(Term_))
-        return absl::AbortedError("leadership was lost before the removal");
-      // A removal without an answer only leaves keys that a replay passes over.
+        return absl::AbortedError("leadership was lost before log compaction");
+      // A removal that fails only leaves keys that a replay skips.
       const auto Removed = Store_.commit(Txn, wallDeadline(MaxAnswerTimeout));
       if (!Removed.ok())
         framework::log::warning("journal.removal_unanswered")
--- a/src/journal/leader.h
+++ b/src/journal/leader.h
@@ -6,18 +6,18 @@
 #include <string>
 #include <string_view>
 
-/// What lasts of a cell: who leads it, and the journal of its events. Both lie
-/// in the platform's store.
+/// Persistent state of a cell in the platform's store: its leader and the
+/// journal of its events.
 namespace laburnumspread::journal {
 
-/// The entry that schedules a cell, as the cell's head key names it.
+/// The entry process that leads a cell, as recorded in the cell's head key.
 struct Leader {
   fleet::EntryName Entry_;
   fleet::Incarnation Incarnation_;
   std::string PeerAddress_;
-  /// Tells the attempts of one entry apart.
+  /// Number of the campaign; distinguishes the campaigns of one process.
   std::uint64_t Attempt_ = 0;
-  /// Revision of the head key; not part of its value.
+  /// Revision of the head key; not part of the key's value.
   jobs::FencingToken Token_;
 
   bool sameProcess(const Leader &Other) const {
@@ -25,17 +25,19 @@
   }
 };
 
+/// Encodes the value of the head key.
 std::string encodeLeader(const Leader &From);
-/// Empty when the text is not a holder's record.
+/// Decodes the value of the head key that was written at revision \p Written.
+/// Returns nullopt if the text is not a leader's record.
 std::optional<Leader> decodeLeader(std::string_view Text,
                                    fleet::Revision Written);
 
-/// Keys of a cell in the store.
+/// Names of a cell's keys in the store.
 struct CellKeys {
   explicit CellKeys(std::string Prefix) : Prefix_(std::move(Prefix)) {}
 
   std::string head() const { return Prefix_ + "head"; }
-  /// Each entry's weight as a candidate.
+  /// Prefix of the keys with each entry's weight as a candidate for leadership.
   std::string candidates() const { return Prefix_ + "candidates/"; }
   std::string base() const { return Prefix_ + "base"; }
   std::string logPrefix() const { return Prefix_ + "log/"; }
@@ -46,15 +48,17 @@
   std::string Prefix_;
 };
 
-/// Where a replay begins: a snapshot that holds everything up to an index.
+/// The snapshot at which a replay starts. It covers all entries up to an index.
 struct Base {
   std::uint64_t Index_ = 0;
+  /// Number of parts of the snapshot; 0 if there is none.
   std::uint64_t Parts_ = 0;
 };
 
 std::string encodeBase(const Base &From);
+/// Returns nullopt if the text is not a base record.
 std::optional<Base> decodeBase(std::string_view Text);
-/// Index at the end of a log key; 0 when there is none.
+/// Returns the index at the end of a log key, or 0 if there is none.
 std::uint64_t indexOfLogKey(std::string_view Key);
 
 } // namespace laburnumspread::journal
--- a/src/journal/leadership.h
+++ b/src/journal/leadership.h
@@ -14,23 +14,24 @@
 using framework::clock::TimePoint;
 using framework::clock::wallDeadline;
 
-/// Tells the leaderships of one process apart. A head that is written anew
-/// stays in its reign, though its token rises; a head that is found again after
-/// the leadership was given up begins another.
+/// Number of a leadership term; distinguishes the terms of one process. A
+/// rewrite of the head key raises the fencing token but does not start a new
+/// term. A head key that is adopted after the leadership was given up does.
 using TermNumber = framework::ids::StrongNumber<struct TermNumberTag>;
 
-/// Leadership of one cell: a key that dies with a store lease. The revision at
-/// which it was written is the fencing token, so tokens rise from holder to
-/// holder.
+/// Leadership of one cell: the head key, which is bound to a store lease. The
+/// revision at which it was written is the fencing token, so the token grows
+/// from leader to leader.
 template <store::KeyValueStore Store> class Leadership {
 public:
-  /// Lease of the head key, the shortest that the platform grants: a dead
-  /// holder is replaced after this time. A holder that the store does not hear
-  /// for as long is replaced too, so renewals are sent several times as often
-  /// and do not wait for each other.
+  /// Lease of the head key, the shortest that the platform grants. A failed
+  /// leader is replaced after this time, and so is one whose renewals do not
+  /// reach the store. Renewals are therefore sent several times as often, and
+  /// do not wait for each other.
   static constexpr std::int64_t LeaseSeconds = 1;
+  /// Timeout of a call to the store.
   static constexpr Duration CallTime = std::chrono::milliseconds(900);
-  /// Between the look at the clock and the answer's leaving.
+  /// Allowance for the time between checking the clock and sending an answer.
   static constexpr Duration AnswerMargin = std::chrono::milliseconds(100);
 
   Leadership(Store &S, CellKeys Keys, Leader Self)
@@ -40,11 +41,11 @@
     Self_.PeerAddress_ = std::move(Address);
   }
 
-  /// Tries once to become the holder. True when this entry now is.
+  /// Tries once to become the leader. Returns whether this process now leads.
   absl::StatusOr<bool> campaign() { return campaignAgainst(fleet::Revision()); }
 
 private:
-  /// Writes the head if it is still as it was at \p Before.
+  /// Writes the head key if its revision is still \p Before.
   absl::StatusOr<bool> campaignAgainst(fleet::Revision Before) {
     const auto Granted =
         Store_.grantLease(LeaseSeconds, wallDeadline(CallTime));
@@ -63,16 +64,19 @@
   }
 
 public:
-  /// Takes over from an earlier process of this entry. It has ended, or this
-  /// one could not run in its place; so nobody need wait for its lease.
+  /// Takes over from \p Former, if its head key is unchanged, without waiting
+  /// for its lease to expire. Used for a peer that has offered its leadership,
+  /// and for an earlier process of this entry, which must have ended since this
+  /// one runs in its place. Returns whether this process now leads.
   absl::StatusOr<bool> takeOverFrom(const Leader &Former) {
     return campaignAgainst(fleet::Revision(Former.Token_.value()));
   }
 
-  /// Takes up a head that names this process: the answer to an earlier attempt
-  /// was lost, and the write came through after all. An attempt before the last
-  /// one is given back, and so is any head once this process has resigned: its
-  /// lease would run on, and nobody else could lead.
+  /// Adopts a head key that names this process: the answer to an earlier
+  /// campaign was lost although its write succeeded. The head key of any but
+  /// the latest campaign is removed, as is any head key once this process has
+  /// resigned. Otherwise its lease would persist and nobody else could lead.
+  /// Returns whether this process now leads.
   absl::StatusOr<bool> adoptOwnHead(const Leader &Seen) {
     if (!Seen.sameProcess(Self_) || held())
       return false;
@@ -83,17 +87,18 @@
     const auto Alive = renew();
     if (!Alive.ok() || !*Alive)
       return Alive;
-    // Meanwhile the answer to the write may have come, or a later attempt may
-    // have begun, or this process has resigned; what that has made of the
-    // leadership stays.
+    // During the renewal the answer to the write may have arrived, a later
+    // campaign may have started, or this process may have resigned. The
+    // resulting state must not be changed then.
     if (!held() && mayAdopt(Seen))
       begin(Seen.Token_);
     return held();
   }
 
-  /// Writes the head anew under the lease that holds it. The token rises, and a
-  /// peer that still means to take the former one over fails. False when
-  /// another has.
+  /// Rewrites the head key under its lease. This raises the token, so that a
+  /// pending takeover of the former head by a peer fails. Returns false if
+  /// another process has already taken over, or Cancelled if the token changed
+  /// during the call.
   absl::StatusOr<bool> rewriteHead() {
     const jobs::FencingToken Before = Self_.Token_;
     RewritePending_ = true;
@@ -105,7 +110,7 @@
     if (!Written.ok())
       return Written.status();
     if (Self_.Token_ != Before)
-      return absl::CancelledError("the token has changed meanwhile");
+      return absl::CancelledError("the fencing token changed during the call");
     const auto Held =
         Written->Succeeded_
             ? adopt(jobs::FencingToken(Written->StoreRevision_.value()), Asked)
@@ -115,11 +120,12 @@
     return Held;
   }
 
-  /// Whether a rewrite may have come through of which the answer is missing:
-  /// then a head that is not as it was may still be this process's own.
+  /// Whether a rewrite without an answer may have succeeded. A head key that
+  /// has changed can then still be this process's own.
   bool rewritePending() const { return RewritePending_; }
 
-  /// Renews the lease. False when it has ended: leadership is lost.
+  /// Renews the lease. Returns false if it has expired, in which case
+  /// leadership is lost.
   absl::StatusOr<bool> renew() {
     const TimePoint Asked = SteadyClock().now();
     const auto Alive = Store_.keepLease(Lease_, wallDeadline(CallTime));
@@ -133,21 +139,22 @@
     return *Alive;
   }
 
-  /// Notes that the store has proved the leadership at \p Asked or later.
+  /// Records that the store has confirmed the leadership in response to a
+  /// request sent at \p Asked.
   void recordConfirmation(TimePoint Asked) {
     ConfirmedAt_ = std::max(ConfirmedAt_, Asked);
     ConfirmationReceivedAt_ = SteadyClock().now();
     Refusals_ = 0;
   }
 
-  /// Renewals that the store has refused since it last confirmed anything.
+  /// Number of renewals refused by the store since its last confirmation.
   std::uint32_t refusals() const { return Refusals_; }
-  /// When the last confirmation arrived. A slow store's arrive late, but as
-  /// often as before.
+  /// When the last confirmation arrived. Confirmations of a slow store arrive
+  /// late, but as often as before.
   TimePoint confirmationReceivedAt() const { return ConfirmationReceivedAt_; }
 
-  /// Gives up leadership for good, so that a successor need not wait for the
-  /// lease.
+  /// Gives up leadership permanently and removes the head key, so that a
+  /// successor need not wait for the lease to expire.
   void resign() {
     Resigned_ = true;
     if (!held())
@@ -163,35 +170,38 @@
         .field("store", Written.ok() ? "acknowledged" : "no answer");
   }
 
-  /// Leadership has been lost: no order may leave any more.
+  /// Records that leadership is lost: no order may be sent any more.
   void markLost() { Self_.Token_ = jobs::FencingToken(); }
 
-  /// Whether nobody else can lead at \p Now: the store has renewed the lease
-  /// so lately that it cannot have ended. A holder that is cut off from the
-  /// store goes on for a while without knowing of its successor; what it said
-  /// of a job then would be old, and "no such job" could be false.
+  /// Whether no other process can lead at \p Now, because the lease was renewed
+  /// so recently that it cannot have expired. A leader that is cut off from the
+  /// store does not learn of its successor for a while. Its answers about jobs
+  /// would be outdated, and "no such job" could be wrong.
   bool leaseValidAt(TimePoint Now) const {
     return held() && Now - ConfirmedAt_ <
                          std::chrono::seconds(LeaseSeconds) - AnswerMargin;
   }
 
   bool held() const { return Self_.Token_.value() != 0; }
-  /// The present reign, or the last one when nothing is held.
+  /// The current term, or the last one if this process does not lead.
   TermNumber term() const { return Term_; }
-  /// Whether \p Which is the reign that is held.
+  /// Whether this process leads and \p Which is the current term.
   bool holds(TermNumber Which) const { return held() && Term_ == Which; }
   jobs::FencingToken token() const { return Self_.Token_; }
+  /// When the latest confirmed request was sent.
   TimePoint confirmedAt() const { return ConfirmedAt_; }
-  /// When this leadership was found to be won.
+  /// When this process learned that its current head key had been written.
   TimePoint startedAt() const { return StartedAt_; }
   const Leader &self() const { return Self_; }
 
 private:
-  /// Whether an own head may be taken up.
+  /// Whether a head key of this process may be adopted.
   bool mayAdopt(const Leader &Own) const {
     return !Resigned_ && Own.Attempt_ == Self_.Attempt_;
   }
 
+  /// Reads the head key after a campaign without a positive answer, and adopts
+  /// it if it is this process's own.
   absl::StatusOr<bool> readBack() {
     const auto Read =
         Store_.range(Keys_.head(), fleet::Revision(0), wallDeadline(CallTime));
@@ -205,18 +215,19 @@
     return false;
   }
 
-  /// The head is not as it was: an earlier rewrite of this process came through
-  /// without an answer, or it is another's.
+  /// Called when the head key has changed before a rewrite: either an earlier
+  /// rewrite of this process succeeded without an answer, and is adopted, or
+  /// another process has taken over.
   absl::StatusOr<bool> adoptRewritten(jobs::FencingToken Before) {
     const TimePoint Asked = SteadyClock().now();
     const auto Read =
         Store_.range(Keys_.head(), fleet::Revision(0), wallDeadline(CallTime));
     if (!Read.ok())
       return Read.status();
-    // The term may have ended meanwhile. A leadership that begins here has
-    // none, and would go on without one.
+    // The caller's term may have ended during the read. Adopting the head key
+    // would start a leadership for which no term is running.
     if (Self_.Token_ != Before)
-      return absl::CancelledError("the token has changed meanwhile");
+      return absl::CancelledError("the fencing token changed during the call");
     for (const store::KeyValue &Item : Read->Items_) {
       const auto Seen = decodeLeader(Item.Value_, Item.ModRevision_);
       if (Item.Key_ == Keys_.head() && Seen && Seen->sameProcess(Self_) &&
@@ -240,6 +251,7 @@
     StartedAt_ = SteadyClock().now();
   }
 
+  /// Removes a head key of this process that must not be adopted.
   void removeStaleHead() {
     store::Transaction Txn;
     Txn.Deletes_ = {Keys_.head()};
--- a/src/journal/tests/fakestore.h
+++ b/src/journal/tests/fakestore.h
@@ -6,8 +6,8 @@
 
 namespace laburnumspread::journal {
 
-/// A store in memory. Writes can be lost on the way, carried out without an
-/// answer, or kept back to be carried out later.
+/// An in-memory store with fault injection. A write can be lost (Lost), applied
+/// without an answer (AnswerLost), or delayed and applied later (Late).
 class FakeStore {
 public:
   enum class Fault { None, Lost, AnswerLost, Late };
@@ -60,7 +60,7 @@
     return !Ended_.contains(Lease);
   }
 
-  /// The lease ends: its keys are removed.
+  /// Ends the lease and removes its keys.
   void endLease(std::int64_t Lease) {
     Ended_.insert({Lease, true});
     std::erase_if(Items_, [&](const auto &Row) {
@@ -69,7 +69,7 @@
     });
   }
 
-  /// Carries out the writes that were kept back.
+  /// Applies the delayed writes.
   void carryOutDelayed() {
     for (const store::Transaction &Txn : std::exchange(Delayed_, {}))
       apply(Txn);
@@ -77,15 +77,15 @@
 
   bool has(const std::string &Key) const { return Items_.contains(Key); }
 
-  /// What befalls the next write, after PassFirst_ others.
+  /// Fault of the next write after PassFirst_ successful ones.
   Fault Next_ = Fault::None;
   std::uint32_t PassFirst_ = 0;
   std::int64_t Leases_ = 0;
-  /// Happens between the next write and its answer.
+  /// Called between the next write and its answer.
   std::function<void()> BeforeAnswer_;
-  /// The same for the next list.
+  /// Called before the next range read.
   std::function<void()> BeforeList_;
-  /// What befalls the next renewal of a lease, and its answer if it has none.
+  /// Called by the next lease renewal, which fails with the returned error.
   std::function<absl::Status()> Renewal_;
 
 private:
--- a/src/journal/tests/journaltest.cpp
+++ b/src/journal/tests/journaltest.cpp
@@ -30,14 +30,14 @@
   return Item;
 }
 
-/// One entry with its leadership and journal.
+/// An entry with its leadership and journal.
 struct Entry {
   Entry(FakeStore &Store, const char *Name, std::uint64_t Incarnation = 1)
       : Store_(Store), Lead_(Store, Keys, leader(Name, Incarnation)) {
     Log_.emplace(Store_, Keys, Lead_);
   }
 
-  /// Campaigns; each leadership has a journal of its own.
+  /// Campaigns for leadership. Each leadership has a journal of its own.
   absl::StatusOr<bool> campaign() {
     const auto Won = Lead_.campaign();
     Log_.emplace(Store_, Keys, Lead_);
@@ -56,7 +56,7 @@
     return Table;
   }
 
-  /// The head as a watch shows it.
+  /// Returns the head key as a watch reports it.
   Leader head() {
     const auto Read = Store_.range(Keys.head(), fleet::Revision(0), {});
     BOOST_REQUIRE(Read->Items_.size() == 1u);
@@ -101,8 +101,8 @@
   BOOST_TEST(!First_.Log_->append({accepted("a")}).ok());
 }
 
-// A caller asks a cut-off leader for a job that its successor has taken, and
-// is told that there is no such job.
+// Guards against a leader that is cut off from the store and answers "no such
+// job" for a job that its successor has accepted.
 BOOST_AUTO_TEST_CASE(HolderWithoutTheStoreStopsAnsweringBeforeItsLeaseEnds) {
   BOOST_REQUIRE(*First_.campaign());
   const TimePoint Renewed = First_.Lead_.confirmedAt();
@@ -132,9 +132,9 @@
   BOOST_TEST(!Store_.has(Keys.log(3)));
 }
 
-// A caller was told that the outcome is unknown and its job must not appear
-// after a successor has said that there is none: the write of the former
-// leader reaches the store only after the takeover.
+// A write of the former leader reaches the store only after the takeover. The
+// job, whose caller was told that the outcome is unknown, must not appear after
+// the new leader has reported that it does not exist.
 BOOST_AUTO_TEST_CASE(LateWriteOfAFormerHolderDoesNothing) {
   BOOST_REQUIRE(*First_.campaign());
   store::Transaction Late;
@@ -151,11 +151,10 @@
   BOOST_TEST(!Store_.has(Keys.log(1)));
 }
 
-// A caller is told that its job is stored, and the cell does not know the job.
-// The process loses its leadership while an entry is on its way, and wins the
-// next one. The former term sent its entry again under the new token: it was
-// stored behind the back of the new term, whose own first entry then failed.
-// Proof: the entry is in the store, and the new term's table lacks its job.
+// Guards against a job that is acknowledged but unknown to the cell. The
+// process loses its leadership while an entry is being written and wins the
+// next term. The former term's retry was stored under the new token, without
+// the new term's table, whose own first entry then failed.
 BOOST_AUTO_TEST_CASE(EntryOfAFormerTermIsNotSentUnderTheNextOne) {
   BOOST_REQUIRE(*First_.campaign());
   std::optional<Journal<FakeStore>> Next;
@@ -174,8 +173,8 @@
   BOOST_TEST(Next->append({accepted("b")}).ok());
 }
 
-// The leader was frozen while its lease ended. On waking it must not tell a
-// caller that the job is stored.
+// A leader was paused while its lease expired. After resuming it must not
+// acknowledge a job.
 BOOST_AUTO_TEST_CASE(FormerHolderLearnsThatItMayNotWrite) {
   BOOST_REQUIRE(*First_.campaign());
   Store_.endLease(1);
@@ -183,8 +182,8 @@
   BOOST_TEST(absl::IsAborted(First_.Log_->append({accepted("a")})));
 }
 
-// Two entries answer callers for one cell: a peer means to take up an offer of
-// the leadership, its write is late, and meanwhile the leader goes on.
+// Guards against two leaders of one cell: a peer accepts an offer of the
+// leadership, but its write is delayed and the leader has continued meanwhile.
 BOOST_AUTO_TEST_CASE(HeadThatWasWrittenAnewIsNotTakenOver) {
   BOOST_REQUIRE(*First_.campaign());
   const Leader Offered = First_.Lead_.self();
@@ -195,9 +194,9 @@
   BOOST_TEST(First_.Log_->append({accepted("b")}).ok());
 }
 
-// Callers wait for seconds: the store is slow, a leader that has written its
-// head anew hears no answer, takes its own write for a peer's and steps down,
-// though nobody else leads.
+// Guards against seconds without a leader: with a slow store, a leader got no
+// answer to a rewrite of its head key, mistook its own write for a peer's and
+// stepped down.
 BOOST_AUTO_TEST_CASE(RewriteWhoseAnswerWasLostIsFoundOut) {
   BOOST_REQUIRE(*First_.campaign());
   Store_.Next_ = FakeStore::Fault::AnswerLost;
@@ -206,9 +205,10 @@
   BOOST_TEST(First_.Log_->append({accepted("a")}).ok());
 }
 
-// The answer to a rewrite of the head is lost, and the next entry's condition
-// fails before the leader has found out: it must not step down for that, or
-// callers wait for a lease to run out that nobody else wants.
+// The answer to a rewrite of the head key is lost, and the condition of the
+// next entry fails before the leader has found the new head key. It must not
+// step down, or callers wait for a lease to expire although no other process
+// leads.
 BOOST_AUTO_TEST_CASE(EntryWaitsForARewriteWithoutAnswer) {
   BOOST_REQUIRE(*First_.campaign());
   Store_.Next_ = FakeStore::Fault::AnswerLost;
@@ -219,11 +219,11 @@
   BOOST_TEST(Store_.has(Keys.log(1)));
 }
 
-// Callers wait for a lease to run out though an entry has won the cell. The
-// watch shows it its own new head before the answer to its write, and it renews
-// the lease to take the head up; the answer comes and a term begins. The
-// renewal stays without answer, and gave up the leadership that was not its
-// own.
+// Guards against a won leadership being given up, after which callers wait for
+// its lease to expire. The watch reports the entry's own head key before the
+// answer to its write, and the entry renews the lease to adopt it. Then the
+// answer arrives and the term starts; the renewal, which times out, used to end
+// this term.
 BOOST_AUTO_TEST_CASE(RenewalWithoutAnswerLeavesAWonLeadership) {
   bool Answered = false;
   boost::fibers::fiber Watch;
@@ -244,10 +244,11 @@
   BOOST_TEST(First_.Log_->append({accepted("a")}).ok());
 }
 
-// A cell has a leader that does nothing: it renews its lease and schedules no
-// job until its process ends. The answer to a rewrite of the head was lost, and
-// while the leader looked for it its term ended. What it found made it lead
-// again, without a term: its own head is passed over while it leads.
+// Guards against a leader that renews its lease but schedules no jobs until its
+// process ends. The answer to a rewrite of the head key was lost, and the term
+// ended while the leader read the key back. Adopting it then restored the
+// leadership without a term, and while a process leads it ignores its own head
+// key.
 BOOST_AUTO_TEST_CASE(RewriteThatIsFoundOutTooLateBeginsNothing) {
   BOOST_REQUIRE(*First_.campaign());
   Store_.Next_ = FakeStore::Fault::AnswerLost;
@@ -257,9 +258,10 @@
   BOOST_TEST(!First_.Lead_.held());
 }
 
-// Callers wait for the lease of an entry that is gone. It hands the cell over
-// when it leaves, but its delete is lost; the watch shows it its own head,
-// which it took up again, renewed, and left behind when its process ended.
+// Guards against waiting for the lease of an entry that has shut down. The
+// delete of its head key was lost when it resigned. The watch then reported the
+// entry's own head key, which it adopted and renewed, and left behind when its
+// process ended.
 BOOST_AUTO_TEST_CASE(LeavingEntryDoesNotTakeItsHeadUpAgain) {
   BOOST_REQUIRE(*First_.campaign());
   Store_.Next_ = FakeStore::Fault::Lost;
@@ -269,7 +271,7 @@
   BOOST_TEST(!Store_.has(Keys.head()));
 }
 
-// The same when it leaves while its write of the head is on its way.
+// The same if it resigns while its write of the head key is pending.
 BOOST_AUTO_TEST_CASE(LeavingEntryGivesBackAHeadThatItWinsMeanwhile) {
   Store_.BeforeAnswer_ = [&] { First_.Lead_.resign(); };
   BOOST_TEST(!*First_.campaign());
@@ -295,9 +297,9 @@
   BOOST_TEST((At(9, 150ms) == 0ms));
 }
 
-// Two holders take turns on one machine within the platform's lease time: the
-// later one knows only from the journal how long ago the order left. It leaves
-// after its entry is stored, so time counts from the entry after it.
+// Two leaders may order the same machine within the platform's lease time. The
+// later one knows only from the journal how long ago the order was sent. An
+// order is sent after its entry is stored, so time counts from the next entry.
 BOOST_AUTO_TEST_CASE(JournalTellsHowLongAgoAMachineWasOrdered) {
   BOOST_REQUIRE(*First_.campaign());
   const jobs::MachineId Early("m1"), Last("m2");
@@ -356,9 +358,9 @@
   BOOST_TEST(Loaded.find(JobId("after")));
 }
 
-// Every job of the cell is gone for its successor: a base whose answer was
-// lost is written again by the store seconds later, over a newer one, and the
-// entries that it counts on have been removed.
+// Guards against the loss of all jobs of a cell after a takeover: a delayed
+// write of an older base was applied over a newer one, although the entries
+// that follow the older base had been removed.
 BOOST_AUTO_TEST_CASE(LateBaseDoesNotTakeThePlaceOfANewerOne) {
   BOOST_REQUIRE(*First_.campaign());
   CellTable Table;
@@ -369,7 +371,7 @@
   Append("a");
   BOOST_REQUIRE(First_.Log_->writeSnapshot(Table).ok());
   Append("b");
-  // The part is written, the base is kept back and written by a second try.
+  // The part is written; the base write is delayed and succeeds on a retry.
   Store_.Next_ = FakeStore::Fault::Late;
   Store_.PassFirst_ = 1;
   BOOST_REQUIRE(First_.Log_->writeSnapshot(Table).ok());
