--- a/src/workers/workertypes.h
+++ b/src/workers/workertypes.h
@@ -6,8 +6,8 @@
 #include <cstdint>
 #include <vector>
 
-/// Where tasks run: workers as they report themselves, machines and waves of
-/// upkeep as the platform lists them.
+/// Workers as they register themselves, and machines and upkeep waves as the
+/// platform lists them.
 namespace laburnumspread::workers {
 
 using fleet::PoolName;
@@ -21,7 +21,7 @@
 using jobs::WorkerId;
 using jobs::WorkerIncarnation;
 
-/// A worker as it reports itself in the platform's store.
+/// A worker as it registers itself in the platform's store.
 struct WorkerRecord {
   WorkerIncarnation Incarnation_;
   PoolName Pool_;
@@ -31,7 +31,7 @@
   Resources Capacity_;
   std::vector<Label> Labels_;
   MachineId Machine_;
-  /// While it drains: least time that is left.
+  /// Minimum time until the worker stops; valid while it is draining.
   Duration Remaining_{};
 
   bool hasLabel(const Label &Wanted) const;
@@ -39,7 +39,8 @@
 
 enum class MachineState { Up, Moving, Upkeep, Down };
 
-/// A machine as the platform lists it.
+/// A machine as the platform lists it. Worker_ is empty if no worker runs on
+/// it.
 struct MachineRecord {
   MachineId Id_;
   PoolName Pool_;
@@ -50,11 +51,13 @@
   WorkerId Worker_;
 };
 
-/// Machines that are to have their upkeep within a time.
+/// An upkeep wave: machines that must have their upkeep within a time limit.
 struct WaveRecord {
   WaveNumber Number_;
   std::vector<MachineId> Machines_;
+  /// Time limit of the whole wave.
   Duration Duration_{};
+  /// Maximum number of its machines that may be down at the same time.
   std::uint32_t MaxAllowed_ = 1;
 };
 
