--- a/src/capacity/internal/poolplanner.cpp
+++ b/src/capacity/internal/poolplanner.cpp
@@ -147,10 +147,10 @@
           const MachineView &Machine = Item.second;
           if (Machine.Record_.Pool_ != Pool || Machine.Cordoned_)
             return false;
-          const bool Coming =
+          const bool Arriving =
               Machine.InTransition_ ||
               Now_ - Machine.IdleSince_ < PoolPlanner::MinIdleTime;
-          return (Coming && Machine.idle()) ||
+          return (Arriving && Machine.idle()) ||
                  (Machine.Usable_ && Waiting.fitsInto(Machine.free()));
         });
   }
@@ -196,8 +196,8 @@
   }
 
   void addOrder(const MachineView &Machine, const PoolName &To,
-                MoveReason Why) {
-    Orders_.push_back({Machine.Record_.Id_, To, Why});
+                MoveReason Reason) {
+    Orders_.push_back({Machine.Record_.Id_, To, Reason});
     Ordered_.insert(Machine.Record_.Id_);
   }
 
--- a/src/capacity/internal/upkeepplanner.cpp
+++ b/src/capacity/internal/upkeepplanner.cpp
@@ -22,8 +22,9 @@
 
   bool allows(const PoolName &Pool) const {
     const auto Size = Size_.find(Pool);
-    const auto Away = Unavailable_.find(Pool);
-    const std::size_t Used = Away == Unavailable_.end() ? 0 : Away->second;
+    const auto Unavailable = Unavailable_.find(Pool);
+    const std::size_t Used =
+        Unavailable == Unavailable_.end() ? 0 : Unavailable->second;
     if (Size == Size_.end() || Used == 0)
       return true;
     return static_cast<double>(Used + 1) <=
@@ -47,11 +48,11 @@
 std::vector<const MachineView *> drainOrder(const WaveRow &Wave,
                                             const Machines &All,
                                             const std::set<PoolName> &Standby) {
-  std::vector<const MachineView *> Left;
+  std::vector<const MachineView *> Remaining;
   for (const MachineId &Id : Wave.Record_.Machines_) {
     const auto Found = All.find(Id);
     if (Found != All.end() && !Wave.Started_.contains(Id))
-      Left.push_back(&Found->second);
+      Remaining.push_back(&Found->second);
   }
   const auto Rank = [&](const MachineView *Machine) {
     return std::make_tuple(!Standby.contains(Machine->Record_.Pool_),
@@ -59,25 +60,25 @@
                            Machine->LongRunningRuns_.size(),
                            Machine->FiniteRuns_);
   };
-  std::stable_sort(Left.begin(), Left.end(),
+  std::stable_sort(Remaining.begin(), Remaining.end(),
                    [&](const MachineView *A, const MachineView *B) {
                      return Rank(A) < Rank(B);
                    });
-  return Left;
+  return Remaining;
 }
 
 } // namespace
 
 std::uint32_t unavailableTasks(const jobs::StepRow &Step) {
-  std::uint32_t Away = 0;
+  std::uint32_t Unavailable = 0;
   for (const jobs::TaskRow &Task : Step.Tasks_) {
-    const bool AtWork = std::any_of(
+    const bool AtFullSpeed = std::any_of(
         Task.Runs_.begin(), Task.Runs_.end(), [](const jobs::LiveRun &Live) {
           return Live.Confirmed_ && !Live.Stopping_ && Live.Percent_ >= 100;
         });
-    Away += !AtWork;
+    Unavailable += !AtFullSpeed;
   }
-  return Away;
+  return Unavailable;
 }
 
 namespace {
@@ -97,16 +98,17 @@
       const StepKey Key{Run.Task_.Job_, Run.Task_.Occurrence_, Run.Task_.Step_};
       const auto &Step =
           Job->Occurrences_[Run.Task_.Occurrence_].Steps_[Run.Task_.Step_];
-      const auto Away =
+      const auto Unavailable =
           Unavailable_.try_emplace(Key, unavailableTasks(Step)).first;
-      const bool AtWork = Live->Confirmed_ && Live->Percent_ >= 100;
-      const std::uint32_t Others = Away->second - (AtWork ? 0 : 1);
-      const std::uint32_t Most =
+      const bool AtFullSpeed = Live->Confirmed_ && Live->Percent_ >= 100;
+      const std::uint32_t OthersUnavailable =
+          Unavailable->second - (AtFullSpeed ? 0 : 1);
+      const std::uint32_t Limit =
           std::max(1u, Job->Spec_.Steps_[Run.Task_.Step_].MaxUnavailable_);
-      if (Others >= Most)
+      if (OthersUnavailable >= Limit)
         continue;
-      if (AtWork)
-        ++Away->second;
+      if (AtFullSpeed)
+        ++Unavailable->second;
       Into.push_back(Run);
     }
   }
@@ -118,10 +120,10 @@
   std::map<StepKey, std::uint32_t> Unavailable_;
 };
 
-bool isUrgent(const WaveRow &Wave, std::size_t Left, Duration Each,
+bool isUrgent(const WaveRow &Wave, std::size_t Remaining, Duration Each,
               TimePoint Now) {
   const std::size_t AtOnce = std::max<std::size_t>(1, Wave.Record_.MaxAllowed_);
-  const std::size_t Rounds = (Left + AtOnce - 1) / AtOnce;
+  const std::size_t Rounds = (Remaining + AtOnce - 1) / AtOnce;
   const Duration TimeLeft = Wave.FirstSeenAt_ + Wave.Record_.Duration_ - Now;
   return static_cast<double>(TimeLeft.count()) <
          UpkeepPlanner::UrgentFactor * 2 * static_cast<double>(Rounds) *
@@ -140,32 +142,32 @@
   for (const auto &[Number, Wave] : Waves) {
     if (Wave.DoneReported_)
       continue;
-    const auto Left = drainOrder(Wave, All, Standby);
+    const auto Remaining = drainOrder(Wave, All, Standby);
     std::size_t Down = 0;
     for (const MachineId &Id : Wave.Record_.Machines_) {
       const auto Found = All.find(Id);
       Down += Found != All.end() && isDown(Found->second) &&
               (Wave.Started_.contains(Id) || Found->second.InTransition_);
     }
-    if (Left.empty()) {
+    if (Remaining.empty()) {
       if (Down == 0)
         Result.Done_.push_back(Number);
       continue;
     }
-    const bool Urgent = isUrgent(Wave, Left.size(), UpkeepTime_, Now);
+    const bool Urgent = isUrgent(Wave, Remaining.size(), UpkeepTime_, Now);
     std::size_t MayStart =
         Wave.Record_.MaxAllowed_ > Down ? Wave.Record_.MaxAllowed_ - Down : 0;
     // Up to MaxAllowed_ further machines are drained in advance, so that the
     // next round can start as soon as this one is up again.
     std::size_t ToDrain = Wave.Record_.MaxAllowed_ + MayStart;
-    for (const MachineView *Machine : Left) {
+    for (const MachineView *Machine : Remaining) {
       if (ToDrain == 0)
         break;
       const PoolName &Pool = Machine->Record_.Pool_;
-      const bool Off = Standby.contains(Pool);
+      const bool SwitchedOff = Standby.contains(Pool);
       if (isDown(*Machine))
         continue;
-      if (!Machine->Cordoned_ && !Off && !Urgent && !Pools.allows(Pool))
+      if (!Machine->Cordoned_ && !SwitchedOff && !Urgent && !Pools.allows(Pool))
         continue;
       if (!Machine->Cordoned_)
         ++Pools.Unavailable_[Pool];
@@ -177,7 +179,7 @@
       }
       // Upkeep is ordered only after a machine has been cordoned for a whole
       // pass, because a start may still be in flight to it.
-      if (MayStart == 0 || (!Machine->Cordoned_ && !Off))
+      if (MayStart == 0 || (!Machine->Cordoned_ && !SwitchedOff))
         continue;
       --MayStart;
       Result.Orders_.push_back({Number, Machine->Record_.Id_});
--- a/src/capacity/tests/poolplannertest.cpp
+++ b/src/capacity/tests/poolplannertest.cpp
@@ -56,7 +56,7 @@
   BOOST_TEST(Machines_[Orders[0].Machine_].Record_.Pool_ == Cold);
 }
 
-BOOST_AUTO_TEST_CASE(MachinesOrderedByAnEarlierHolderAreLeftAlone) {
+BOOST_AUTO_TEST_CASE(MachinesOrderedByAnEarlierLeaderAreSkipped) {
   add("a", Hot);
   for (const char *Name : {"b", "c", "d", "e"})
     add(Name, Cold);
@@ -70,7 +70,7 @@
   BOOST_TEST(Orders[1].Machine_ == MachineId("d"));
 }
 
-BOOST_AUTO_TEST_CASE(OneLargeJobForetellsNothing) {
+BOOST_AUTO_TEST_CASE(SingleLargeJobPredictsNoLoad) {
   ArrivedLoad One;
   One.add(40000);
   BOOST_TEST(One.lowerEstimate() == 0);
@@ -83,7 +83,7 @@
 // Guards against a slow start of a peak: jobs arrive ten times as fast as
 // before, but machines were ordered only as the backlog grew, a few at a time,
 // and each takes more than a second to arrive.
-BOOST_AUTO_TEST_CASE(MachinesAreSentForWhenJobsBeginToPourIn) {
+BOOST_AUTO_TEST_CASE(MachinesAreOrderedWhenArrivalsIncrease) {
   add("a", Hot);
   for (const char *Name : {"b", "c", "d", "e", "f"})
     add(Name, Cold);
@@ -95,7 +95,7 @@
 
 // Guards against a shortage during the whole rise of a peak: machines were
 // ordered for the current demand, which had grown by the time they arrived.
-BOOST_AUTO_TEST_CASE(MachinesAreSentForWhatWillBeAskedWhenTheyCome) {
+BOOST_AUTO_TEST_CASE(IncreaseIsExtrapolatedUntilMachinesArrive) {
   add("a", Hot);
   for (const char *Name : {"b", "c", "d", "e", "f", "g", "h"})
     add(Name, Cold);
@@ -107,7 +107,7 @@
   BOOST_TEST(plan().size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(RiseByChanceIsNone) {
+BOOST_AUTO_TEST_CASE(RandomIncreaseIsIgnored) {
   ArrivedLoad Before, Now;
   Before.add(1000);
   Now.add(1000);
@@ -127,7 +127,7 @@
 
 // Guards against an idle pool giving away all but one of its unused machines,
 // so that its next job has to wait for one to return.
-BOOST_AUTO_TEST_CASE(PoolKeepsWhatItNeedsAndTheSpareOnes) {
+BOOST_AUTO_TEST_CASE(PoolKeepsRequiredAndSpareMachines) {
   add("a", Hot);
   for (const char *Name : {"b", "c", "d", "e"})
     add(Name, Cold);
@@ -169,7 +169,7 @@
 
 // No machine is large enough for the task; without this check each pass would
 // order one more.
-BOOST_AUTO_TEST_CASE(TaskThatNoMachineHoldsBringsNone) {
+BOOST_AUTO_TEST_CASE(TaskTooLargeForAnyMachineOrdersNone) {
   add("a", Hot);
   Machines_[MachineId("a")].FiniteRuns_ = 1;
   for (const char *Name : {"c", "d", "e"})
@@ -180,7 +180,7 @@
 
 // A machine that is being moved to the pool counts as available. Otherwise each
 // pass would order more until the first one arrives.
-BOOST_AUTO_TEST_CASE(MachinesOnTheirWayCount) {
+BOOST_AUTO_TEST_CASE(MachinesInTransitionCount) {
   add("a", Hot);
   add("b", Hot);
   Machines_[MachineId("b")].InTransition_ = true;
@@ -194,7 +194,7 @@
 // Guards against a pool starting its peak with too few machines because its own
 // ones are idle in another pool, where an earlier peak needed them, and have to
 // be moved first.
-BOOST_AUTO_TEST_CASE(MachinesGoHomeAfterAPeakElsewhere) {
+BOOST_AUTO_TEST_CASE(IdleMachinesReturnToTheirHomePool) {
   for (const char *Name : {"a", "b"})
     add(Name, Hot);
   add("c", Hot, 1s);
@@ -210,7 +210,7 @@
   BOOST_TEST(plan().empty());
 }
 
-BOOST_AUTO_TEST_CASE(WhatWasSwitchedOnIsSwitchedOffAgain) {
+BOOST_AUTO_TEST_CASE(MachinesFromStandbyAreSwitchedOffAgain) {
   for (const char *Name : {"a", "c"})
     add(Name, Hot);
   add("b", Hot, 1s);
--- a/src/capacity/tests/upkeepplannertest.cpp
+++ b/src/capacity/tests/upkeepplannertest.cpp
@@ -83,7 +83,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(UpkeepPlannerTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(StandingTasksMoveOneAfterTheOther) {
+BOOST_AUTO_TEST_CASE(LongRunningTasksAreEvacuatedOneByOne) {
   const UpkeepPlan First = plan();
   BOOST_REQUIRE(First.Evacuate_.size() == 1u);
   Table_.findLive(First.Evacuate_[0])->Stopping_ = true;
@@ -100,7 +100,7 @@
   BOOST_TEST(plan().Evacuate_.empty());
 }
 
-BOOST_AUTO_TEST_CASE(EmptyMachineIsOrderedOnlyAfterItWasHeldBack) {
+BOOST_AUTO_TEST_CASE(EmptyMachineIsOrderedOnlyAfterACordon) {
   Machines_[machine(0)].LongRunningRuns_.clear();
   BOOST_TEST(plan().Orders_.empty());
   const UpkeepPlan Second = plan();
@@ -127,7 +127,7 @@
   BOOST_TEST(plan(Start + 59s).Orders_.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(WaveIsDoneWhenAllHaveBegunAndAreBack) {
+BOOST_AUTO_TEST_CASE(WaveIsDoneWhenAllStartedAndAreUp) {
   for (auto &[Id, View] : Machines_)
     View.LongRunningRuns_.clear();
   Waves_[WaveNumber(1)].Started_ = {machine(0), machine(1), machine(2)};
@@ -138,7 +138,7 @@
 }
 
 // A machine that has left the fleet for good must not keep its wave open.
-BOOST_AUTO_TEST_CASE(MachinesThatHaveLeftDoNotCount) {
+BOOST_AUTO_TEST_CASE(RemovedMachinesDoNotCount) {
   Waves_[WaveNumber(1)].Started_ = {machine(0), machine(1)};
   Machines_.erase(machine(2));
   BOOST_TEST(plan().Done_.size() == 1u);
--- a/src/jobs/celltable.h
+++ b/src/jobs/celltable.h
@@ -186,7 +186,7 @@
   void gangDone(JobRow &Job, const RunName &Run, TimePoint Now);
   void restoreTask(JobRow &Job, const TaskName &Task, TaskRow &&From,
                    TimePoint Now);
-  void taskFailed(JobRow &Job, TaskRow &Task, std::uint32_t Most,
+  void taskFailed(JobRow &Job, TaskRow &Task, std::uint32_t MaxAttempts,
                   TimePoint Now);
   std::uint32_t attemptLimit(const QueueName &Queue) const;
   void endJob(JobRow &Job, JobState State, TimePoint Now);
--- a/src/jobs/internal/celltable.cpp
+++ b/src/jobs/internal/celltable.cpp
@@ -214,10 +214,10 @@
     endJob(Job, JobState::Done, Now);
 }
 
-void CellTable::taskFailed(JobRow &Job, TaskRow &Task, std::uint32_t Most,
-                           TimePoint Now) {
+void CellTable::taskFailed(JobRow &Job, TaskRow &Task,
+                           std::uint32_t MaxAttempts, TimePoint Now) {
   ++Task.Failures_;
-  if (Task.Failures_ >= Most && !Task.Done_ && !Job.ended())
+  if (Task.Failures_ >= MaxAttempts && !Task.Done_ && !Job.ended())
     endJob(Job, JobState::Failed, Now);
 }
 
@@ -301,21 +301,21 @@
   if (Jobs_.contains(Id))
     return;
   applyEvent(JobAccepted{Row.Spec_}, Now);
-  JobRow &Put = Jobs_.at(Id);
+  JobRow &Restored = Jobs_.at(Id);
   // Must precede the tasks: otherwise a job that failed or was cancelled while
   // its last tasks ended would be closed as done when they are restored.
   if (Row.ended())
-    endJob(Put, Row.State_, Now);
+    endJob(Restored, Row.State_, Now);
   for (std::uint32_t K = 0; K < Row.Occurrences_.size(); ++K)
     for (std::uint32_t S = 0; S < Row.Occurrences_[K].Steps_.size(); ++S) {
       auto &Tasks = Row.Occurrences_[K].Steps_[S].Tasks_;
       for (std::uint32_t I = 0; I < Tasks.size(); ++I)
-        restoreTask(Put, {Id, K, S, I}, std::move(Tasks[I]), Now);
+        restoreTask(Restored, {Id, K, S, I}, std::move(Tasks[I]), Now);
     }
-  if (Row.State_ == JobState::Pending || Put.ended())
+  if (Row.State_ == JobState::Pending || Restored.ended())
     return;
-  Put.State_ = JobState::Running;
-  --Waiting_[Put.Spec_.Queue_];
+  Restored.State_ = JobState::Running;
+  --Waiting_[Restored.Spec_.Queue_];
 }
 
 void CellTable::resetProgress(const WorkerIncarnation &Worker) {
--- a/src/jobs/tests/celltabletest.cpp
+++ b/src/jobs/tests/celltabletest.cpp
@@ -66,7 +66,7 @@
   BOOST_TEST(Table_.open().empty());
 }
 
-BOOST_AUTO_TEST_CASE(EverythingLiveCountsAgainstWorkerAndWorkspace) {
+BOOST_AUTO_TEST_CASE(LiveRunsCountAgainstWorkerAndWorkspace) {
   start(runOf(0, 0, 1));
   start(runOf(0, 1, 1));
   BOOST_TEST(Table_.usageOf(Worker)->Used_.MilliCpus_ == 2000);
@@ -92,7 +92,7 @@
   BOOST_TEST((state() == JobState::Failed));
 }
 
-BOOST_AUTO_TEST_CASE(CancelledJobKeepsWhatIsLive) {
+BOOST_AUTO_TEST_CASE(CancelledJobKeepsLiveRuns) {
   start(runOf(0, 0, 1));
   Table_.apply(JobCancelled{Job}, Start);
   BOOST_TEST((state() == JobState::Cancelled));
@@ -122,31 +122,31 @@
   CellTable Table;
   for (const Event &Item : Events)
     Table.apply(Item, Start);
-  CellTable Again;
+  CellTable Restored;
   for (const std::string &Part : encodeSnapshot(Table, 1 << 20))
-    BOOST_REQUIRE(decodeSnapshot(Part, Start, Again).ok());
+    BOOST_REQUIRE(decodeSnapshot(Part, Start, Restored).ok());
   const auto Log = decodeGroup(encodeGroup(Events));
   BOOST_REQUIRE(Log.ok());
   for (const Event &Item : Log->Events_)
-    Again.apply(Item, Start);
-  const TaskRow *Task = Again.find(TaskName{Job, 0, 0, 0});
+    Restored.apply(Item, Start);
+  const TaskRow *Task = Restored.find(TaskName{Job, 0, 0, 0});
   BOOST_REQUIRE(Task);
   BOOST_TEST(Task->Failures_ == 1u);
   BOOST_TEST(Task->Runs_.size() == 1u);
   BOOST_TEST(Task->Saved_.str() == "c");
-  BOOST_TEST(Again.usedBy(Workspace).MilliCpus_ == 1000);
-  BOOST_TEST(Again.find(Job)->Spec_.Payload_ == "payload");
+  BOOST_TEST(Restored.usedBy(Workspace).MilliCpus_ == 1000);
+  BOOST_TEST(Restored.find(Job)->Spec_.Payload_ == "payload");
 }
 
 BOOST_AUTO_TEST_CASE(EndedJobsKeepTheirStateInASnapshot) {
   start(runOf(0, 0, 1));
   Table_.apply(JobCancelled{Job}, Start);
-  CellTable Again;
+  CellTable Restored;
   for (const std::string &Part : encodeSnapshot(Table_, 1 << 20))
-    BOOST_REQUIRE(decodeSnapshot(Part, Start, Again).ok());
-  BOOST_TEST((Again.find(Job)->State_ == JobState::Cancelled));
-  BOOST_TEST(Again.find(Job)->LiveRuns_ == 1u);
-  BOOST_TEST(Again.usageOf(Worker)->Runs_.size() == 1u);
+    BOOST_REQUIRE(decodeSnapshot(Part, Start, Restored).ok());
+  BOOST_TEST((Restored.find(Job)->State_ == JobState::Cancelled));
+  BOOST_TEST(Restored.find(Job)->LiveRuns_ == 1u);
+  BOOST_TEST(Restored.usageOf(Worker)->Runs_.size() == 1u);
 }
 
 // Guards against a cancelled job that is reported as done after a takeover. A
@@ -165,15 +165,15 @@
   start({Two, RunNumber(1)});
   Table_.apply(JobCancelled{Spec.Id_}, Start);
   end({One, RunNumber(1)}, EndKind::Done);
-  CellTable Again;
+  CellTable Restored;
   for (const std::string &Part : encodeSnapshot(Table_, 1 << 20))
-    BOOST_REQUIRE(decodeSnapshot(Part, Start, Again).ok());
+    BOOST_REQUIRE(decodeSnapshot(Part, Start, Restored).ok());
   BOOST_TEST((Table_.find(Spec.Id_)->State_ == JobState::Cancelled));
-  BOOST_TEST((Again.find(Spec.Id_)->State_ == JobState::Cancelled));
-  BOOST_TEST(Again.find(Spec.Id_)->LiveRuns_ == 1u);
+  BOOST_TEST((Restored.find(Spec.Id_)->State_ == JobState::Cancelled));
+  BOOST_TEST(Restored.find(Spec.Id_)->LiveRuns_ == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(GangIsDoneByOneEnd) {
+BOOST_AUTO_TEST_CASE(GangIsDoneWhenOneMemberSucceeds) {
   JobSpec Spec = twoSteps();
   Spec.Id_ = JobId("fedcba9876543210");
   Spec.Steps_[0].Gang_ = true;
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -116,22 +116,23 @@
     for (std::size_t I = 0; I < Parts.size(); ++I) {
       store::Transaction Txn = fencedTransaction();
       Txn.Puts_ = {{Keys_.snapshot(Index, I), Parts[I], 0}};
-      const auto Put =
+      const auto Written =
           commitExactlyOnce(Txn, Keys_.snapshot(Index, I), Parts[I]);
-      if (!Put.ok())
-        return Put.status();
+      if (!Written.ok())
+        return Written.status();
     }
-    const Base Fresh{Index, Parts.size()};
+    const Base NewBase{Index, Parts.size()};
     store::Transaction Txn = fencedTransaction();
     // A delayed write of an older base must not replace this one, because the
     // entries that follow the older base have been removed by then.
     Txn.Compares_.push_back({Keys_.base(), BaseRevision_});
-    Txn.Puts_ = {{Keys_.base(), encodeBase(Fresh), 0}};
-    const auto Put = commitExactlyOnce(Txn, Keys_.base(), encodeBase(Fresh));
-    if (!Put.ok())
-      return Put.status();
-    BaseRevision_ = *Put;
-    Base_ = Fresh;
+    Txn.Puts_ = {{Keys_.base(), encodeBase(NewBase), 0}};
+    const auto Written =
+        commitExactlyOnce(Txn, Keys_.base(), encodeBase(NewBase));
+    if (!Written.ok())
+      return Written.status();
+    BaseRevision_ = *Written;
+    Base_ = NewBase;
     ++Counters_.Snapshots_;
     return removeCompacted(Old);
   }
@@ -212,8 +213,8 @@
                     const std::string &Value) {
     PendingSince_ = SteadyClock().now();
     auto Outcome = commitUntilKnown(Txn, Key, Value);
-    const Duration Took = SteadyClock().now() - *PendingSince_;
-    TypicalCommitTime_ += (Took - TypicalCommitTime_) / CommitTimeSmoothing;
+    const Duration Elapsed = SteadyClock().now() - *PendingSince_;
+    TypicalCommitTime_ += (Elapsed - TypicalCommitTime_) / CommitTimeSmoothing;
     PendingSince_.reset();
     Refused_ = false;
     return Outcome;
@@ -227,21 +228,22 @@
       // The head may have been rewritten since the last attempt.
       const jobs::FencingToken Token = Lead_.token();
       Guarded.Compares_.front() = headRevisionIs(Token);
-      const TimePoint Asked = SteadyClock().now();
+      const TimePoint SentAt = SteadyClock().now();
       const auto Written =
           Store_.commit(Guarded, wallDeadline(Answers_.wait()));
       if (Written.ok())
-        Answers_.answered(SteadyClock().now() - Asked);
+        Answers_.answered(SteadyClock().now() - SentAt);
       if (Written.ok() && Written->Succeeded_) {
-        Lead_.recordConfirmation(Asked);
+        Lead_.recordConfirmation(SentAt);
         return Written->StoreRevision_;
       }
       if (Written.ok()) {
-        const auto Settled = resolveOutcome(Key, Value);
-        const bool Over = absl::IsAborted(Settled.status()) &&
-                          Lead_.token() == Token && !Lead_.rewritePending();
-        if (Settled.ok() || Over)
-          return Settled;
+        const auto Resolved = resolveOutcome(Key, Value);
+        const bool LeadershipOver = absl::IsAborted(Resolved.status()) &&
+                                    Lead_.token() == Token &&
+                                    !Lead_.rewritePending();
+        if (Resolved.ok() || LeadershipOver)
+          return Resolved;
       }
       ++Counters_.Retries_;
       Refused_ = absl::IsResourceExhausted(Written.status());
--- a/src/journal/leadership.h
+++ b/src/journal/leadership.h
@@ -53,13 +53,13 @@
       return Granted.status();
     ++Self_.Attempt_;
     Lease_ = *Granted;
-    const TimePoint Asked = SteadyClock().now();
+    const TimePoint SentAt = SteadyClock().now();
     store::Transaction Txn;
     Txn.Compares_ = {{Keys_.head(), Before}};
     Txn.Puts_ = {{Keys_.head(), encodeLeader(Self_), Lease_}};
     const auto Written = Store_.commit(Txn, wallDeadline(CallTime));
     if (Written.ok() && Written->Succeeded_ && !Resigned_)
-      return adopt(jobs::FencingToken(Written->StoreRevision_.value()), Asked);
+      return adopt(jobs::FencingToken(Written->StoreRevision_.value()), SentAt);
     return readBack();
   }
 
@@ -102,7 +102,7 @@
   absl::StatusOr<bool> rewriteHead() {
     const jobs::FencingToken Before = Self_.Token_;
     RewritePending_ = true;
-    const TimePoint Asked = SteadyClock().now();
+    const TimePoint SentAt = SteadyClock().now();
     store::Transaction Txn;
     Txn.Compares_ = {{Keys_.head(), fleet::Revision(Before.value())}};
     Txn.Puts_ = {{Keys_.head(), encodeLeader(Self_), Lease_}};
@@ -113,7 +113,7 @@
       return absl::CancelledError("the fencing token changed during the call");
     const auto Held =
         Written->Succeeded_
-            ? adopt(jobs::FencingToken(Written->StoreRevision_.value()), Asked)
+            ? adopt(jobs::FencingToken(Written->StoreRevision_.value()), SentAt)
             : adoptRewritten(Before);
     if (Held.ok())
       RewritePending_ = false;
@@ -127,7 +127,7 @@
   /// Renews the lease. Returns false if it has expired, in which case
   /// leadership is lost.
   absl::StatusOr<bool> renew() {
-    const TimePoint Asked = SteadyClock().now();
+    const TimePoint SentAt = SteadyClock().now();
     const auto Alive = Store_.keepLease(Lease_, wallDeadline(CallTime));
     if (absl::IsResourceExhausted(Alive.status()) ||
         absl::IsUnavailable(Alive.status()))
@@ -135,14 +135,14 @@
     if (!Alive.ok())
       return Alive.status();
     if (*Alive)
-      recordConfirmation(Asked);
+      recordConfirmation(SentAt);
     return *Alive;
   }
 
   /// Records that the store has confirmed the leadership in response to a
-  /// request sent at \p Asked.
-  void recordConfirmation(TimePoint Asked) {
-    ConfirmedAt_ = std::max(ConfirmedAt_, Asked);
+  /// request sent at \p SentAt.
+  void recordConfirmation(TimePoint SentAt) {
+    ConfirmedAt_ = std::max(ConfirmedAt_, SentAt);
     ConfirmationReceivedAt_ = SteadyClock().now();
     Refusals_ = 0;
   }
@@ -219,7 +219,7 @@
   /// rewrite of this process succeeded without an answer, and is adopted, or
   /// another process has taken over.
   absl::StatusOr<bool> adoptRewritten(jobs::FencingToken Before) {
-    const TimePoint Asked = SteadyClock().now();
+    const TimePoint SentAt = SteadyClock().now();
     const auto Read =
         Store_.range(Keys_.head(), fleet::Revision(0), wallDeadline(CallTime));
     if (!Read.ok())
@@ -232,14 +232,14 @@
       const auto Seen = decodeLeader(Item.Value_, Item.ModRevision_);
       if (Item.Key_ == Keys_.head() && Seen && Seen->sameProcess(Self_) &&
           Seen->Attempt_ == Self_.Attempt_)
-        return adopt(Seen->Token_, Asked);
+        return adopt(Seen->Token_, SentAt);
     }
     return false;
   }
 
-  absl::StatusOr<bool> adopt(jobs::FencingToken Token, TimePoint Asked) {
+  absl::StatusOr<bool> adopt(jobs::FencingToken Token, TimePoint SentAt) {
     begin(Token);
-    recordConfirmation(Asked);
+    recordConfirmation(SentAt);
     return true;
   }
 
--- a/src/journal/tests/fakestore.h
+++ b/src/journal/tests/fakestore.h
@@ -14,8 +14,8 @@
 
   absl::StatusOr<store::RangeResult>
   range(const std::string &Prefix, fleet::Revision Since, store::TimePoint) {
-    if (const auto Meanwhile = std::exchange(BeforeList_, nullptr))
-      Meanwhile();
+    if (const auto Callback = std::exchange(BeforeList_, nullptr))
+      Callback();
     store::RangeResult Result;
     Result.StoreRevision_ = fleet::Revision(Revision_);
     for (const auto &[Key, Item] : Items_)
@@ -26,16 +26,16 @@
 
   absl::StatusOr<store::TransactionResult> commit(const store::Transaction &Txn,
                                                   store::TimePoint) {
-    const bool Pass = PassFirst_ > 0;
-    PassFirst_ -= Pass;
-    const Fault Now = Pass ? Fault::None : std::exchange(Next_, Fault::None);
+    const bool Passes = PassFirst_ > 0;
+    PassFirst_ -= Passes;
+    const Fault Now = Passes ? Fault::None : std::exchange(Next_, Fault::None);
     const store::TransactionResult Result =
         Now == Fault::Lost || Now == Fault::Late ? store::TransactionResult()
                                                  : apply(Txn);
     if (Now == Fault::Late)
       Delayed_.push_back(Txn);
-    if (const auto Meanwhile = std::exchange(BeforeAnswer_, nullptr))
-      Meanwhile();
+    if (const auto Callback = std::exchange(BeforeAnswer_, nullptr))
+      Callback();
     if (Now == Fault::Lost)
       return absl::UnavailableError("lost");
     if (Now == Fault::Late)
@@ -92,10 +92,10 @@
   store::TransactionResult apply(const store::Transaction &Txn) {
     for (const store::Compare &Item : Txn.Compares_) {
       const auto Found = Items_.find(Item.Key_);
-      const fleet::Revision Is = Found == Items_.end()
-                                     ? fleet::Revision(0)
-                                     : Found->second.ModRevision_;
-      if (Is != Item.ModRevision_)
+      const fleet::Revision Current = Found == Items_.end()
+                                          ? fleet::Revision(0)
+                                          : Found->second.ModRevision_;
+      if (Current != Item.ModRevision_)
         return {};
     }
     ++Revision_;
--- a/src/journal/tests/journaltest.cpp
+++ b/src/journal/tests/journaltest.cpp
@@ -80,7 +80,7 @@
   BOOST_TEST(*Second_.campaign());
 }
 
-BOOST_AUTO_TEST_CASE(TokensRiseFromHolderToHolder) {
+BOOST_AUTO_TEST_CASE(TokenGrowsWithEachLeader) {
   BOOST_REQUIRE(*First_.campaign());
   const auto Before = First_.Lead_.token();
   First_.Lead_.resign();
@@ -88,7 +88,7 @@
   BOOST_TEST((Second_.Lead_.token() > Before));
 }
 
-BOOST_AUTO_TEST_CASE(CampaignWhoseAnswerWasLostIsFoundOut) {
+BOOST_AUTO_TEST_CASE(CampaignWithLostAnswerIsDetected) {
   Store_.Next_ = FakeStore::Fault::AnswerLost;
   BOOST_TEST(*First_.campaign());
   BOOST_TEST(First_.Lead_.held());
@@ -111,7 +111,7 @@
   BOOST_TEST(First_.Lead_.held());
 }
 
-BOOST_AUTO_TEST_CASE(SuccessorReadsWhatWasAcknowledged) {
+BOOST_AUTO_TEST_CASE(SuccessorReadsAcknowledgedEntries) {
   BOOST_REQUIRE(*First_.campaign());
   BOOST_REQUIRE(First_.Log_->append({accepted("a")}).ok());
   BOOST_REQUIRE(First_.Log_->append({accepted("b")}).ok());
@@ -135,7 +135,7 @@
 // A write of the former leader reaches the store only after the takeover. The
 // job, whose caller was told that the outcome is unknown, must not appear after
 // the new leader has reported that it does not exist.
-BOOST_AUTO_TEST_CASE(LateWriteOfAFormerHolderDoesNothing) {
+BOOST_AUTO_TEST_CASE(LateWriteOfAFormerLeaderHasNoEffect) {
   BOOST_REQUIRE(*First_.campaign());
   store::Transaction Late;
   Late.Compares_ = {
@@ -153,8 +153,9 @@
 
 // Guards against a job that is acknowledged but unknown to the cell. The
 // process loses its leadership while an entry is being written and wins the
-// next term. The former term's retry was stored under the new token, without
-// the new term's table, whose own first entry then failed.
+// next term. The former term sent its entry again under the new token: it was
+// stored, but the new term's table lacked its job, and the new term's own first
+// entry then failed.
 BOOST_AUTO_TEST_CASE(EntryOfAFormerTermIsNotSentUnderTheNextOne) {
   BOOST_REQUIRE(*First_.campaign());
   std::optional<Journal<FakeStore>> Next;
@@ -175,7 +176,7 @@
 
 // A leader was paused while its lease expired. After resuming it must not
 // acknowledge a job.
-BOOST_AUTO_TEST_CASE(FormerHolderLearnsThatItMayNotWrite) {
+BOOST_AUTO_TEST_CASE(FormerLeaderCannotAppend) {
   BOOST_REQUIRE(*First_.campaign());
   Store_.endLease(1);
   BOOST_REQUIRE(*Second_.campaign());
@@ -184,7 +185,7 @@
 
 // Guards against two leaders of one cell: a peer accepts an offer of the
 // leadership, but its write is delayed and the leader has continued meanwhile.
-BOOST_AUTO_TEST_CASE(HeadThatWasWrittenAnewIsNotTakenOver) {
+BOOST_AUTO_TEST_CASE(RewrittenHeadIsNotTakenOver) {
   BOOST_REQUIRE(*First_.campaign());
   const Leader Offered = First_.Lead_.self();
   BOOST_REQUIRE(First_.Log_->append({accepted("a")}).ok());
@@ -272,21 +273,21 @@
 }
 
 // The same if it resigns while its write of the head key is pending.
-BOOST_AUTO_TEST_CASE(LeavingEntryGivesBackAHeadThatItWinsMeanwhile) {
+BOOST_AUTO_TEST_CASE(ResignedEntryRemovesAHeadThatItWins) {
   Store_.BeforeAnswer_ = [&] { First_.Lead_.resign(); };
   BOOST_TEST(!*First_.campaign());
   BOOST_TEST(!First_.Lead_.held());
   BOOST_TEST(!Store_.has(Keys.head()));
 }
 
-BOOST_AUTO_TEST_CASE(HolderThatWasReplacedCannotGoOn) {
+BOOST_AUTO_TEST_CASE(ReplacedLeaderCannotContinue) {
   BOOST_REQUIRE(*First_.campaign());
   BOOST_TEST(*Second_.Lead_.takeOverFrom(First_.Lead_.self()));
   BOOST_TEST(!*First_.Lead_.rewriteHead());
   BOOST_TEST(absl::IsAborted(First_.Log_->append({accepted("a")})));
 }
 
-BOOST_AUTO_TEST_CASE(AgeCountsEachHoldersOwnTime) {
+BOOST_AUTO_TEST_CASE(ClockCountsEachLeadersOwnTime) {
   JournalClock Age;
   const auto At = [&](std::uint64_t Token, Duration Since) {
     return Age.advance({jobs::FencingToken(Token), Since});
@@ -302,7 +303,7 @@
 // order is sent after its entry is stored, so time counts from the next entry.
 BOOST_AUTO_TEST_CASE(JournalTellsHowLongAgoAMachineWasOrdered) {
   BOOST_REQUIRE(*First_.campaign());
-  const jobs::MachineId Early("m1"), Last("m2");
+  const jobs::MachineId FirstOrdered("m1"), LastOrdered("m2");
   const auto Put = [&](std::uint64_t Index, std::vector<Event> Events,
                        Duration Since) {
     store::Transaction Txn;
@@ -310,16 +311,16 @@
     Txn.Puts_ = {{Keys.log(Index), jobs::encodeGroup(Events, Stamp), 0}};
     BOOST_REQUIRE(Store_.commit(Txn, {}).ok());
   };
-  Put(1, {jobs::MachineOrdered{Early, fleet::PoolName("off")}}, 1s);
+  Put(1, {jobs::MachineOrdered{FirstOrdered, fleet::PoolName("off")}}, 1s);
   Put(2, {accepted("a")}, 4s);
-  Put(3, {jobs::MachineOrdered{Last, fleet::PoolName("on")}}, 6s);
+  Put(3, {jobs::MachineOrdered{LastOrdered, fleet::PoolName("on")}}, 6s);
   Store_.endLease(1);
   BOOST_REQUIRE(*Second_.campaign());
   const CellTable Loaded = loadBy(Second_);
   BOOST_REQUIRE(Loaded.machineOrders().size() == 2u);
-  BOOST_TEST((Loaded.machineOrders().at(Early).SinceLastOrder_ == 2s));
-  BOOST_TEST((Loaded.machineOrders().at(Last).SinceLastOrder_ == 0s));
-  BOOST_TEST(Loaded.machineOrders().at(Early).HomePool_ ==
+  BOOST_TEST((Loaded.machineOrders().at(FirstOrdered).SinceLastOrder_ == 2s));
+  BOOST_TEST((Loaded.machineOrders().at(LastOrdered).SinceLastOrder_ == 0s));
+  BOOST_TEST(Loaded.machineOrders().at(FirstOrdered).HomePool_ ==
              fleet::PoolName("off"));
 }
 
@@ -339,7 +340,7 @@
              fleet::PoolName("off"));
 }
 
-BOOST_AUTO_TEST_CASE(SnapshotTakesThePlaceOfTheEntries) {
+BOOST_AUTO_TEST_CASE(SnapshotReplacesEntries) {
   BOOST_REQUIRE(*First_.campaign());
   CellTable Table;
   for (int I = 0; I < 40; ++I) {
@@ -361,7 +362,7 @@
 // Guards against the loss of all jobs of a cell after a takeover: a delayed
 // write of an older base was applied over a newer one, although the entries
 // that follow the older base had been removed.
-BOOST_AUTO_TEST_CASE(LateBaseDoesNotTakeThePlaceOfANewerOne) {
+BOOST_AUTO_TEST_CASE(LateBaseDoesNotReplaceANewerOne) {
   BOOST_REQUIRE(*First_.campaign());
   CellTable Table;
   const auto Append = [&](const std::string &Id) {
--- a/src/scheduling/internal/runtimeestimator.cpp
+++ b/src/scheduling/internal/runtimeestimator.cpp
@@ -33,9 +33,10 @@
     return;
   const double LogDeclared = std::log(static_cast<double>(Declared.count()));
   const double LogMeasured = std::log(static_cast<double>(Measured.count()));
-  const double Most = std::log(MaxErrorFactor);
-  Fits_[Queue].add(LogDeclared, std::clamp(LogMeasured, LogDeclared - Most,
-                                           LogDeclared + Most));
+  const double MaxLogError = std::log(MaxErrorFactor);
+  Fits_[Queue].add(LogDeclared,
+                   std::clamp(LogMeasured, LogDeclared - MaxLogError,
+                              LogDeclared + MaxLogError));
 }
 
 jobs::Duration
--- a/src/scheduling/internal/scheduler.cpp
+++ b/src/scheduling/internal/scheduler.cpp
@@ -127,23 +127,23 @@
   }
 
   std::size_t placeTasks(const ReadyStep &Step, Plan &Into) {
-    std::size_t Left = 0;
-    bool Full = false;
+    std::size_t Unplaced = 0;
+    bool NoneFits = false;
     for (std::uint32_t I = 0; I < Step.Row_->Tasks_.size(); ++I) {
       const TaskRow &Task = Step.Row_->Tasks_[I];
       if (!Task.idle() || Task.NotBefore_ > Now_)
         continue;
       // All tasks of a step have the same demand: if one does not fit, none
       // will.
-      Candidate *Chosen = Full ? nullptr : chooseWorker(Step);
+      Candidate *Chosen = NoneFits ? nullptr : chooseWorker(Step);
       if (!Chosen) {
-        Full = true;
-        ++Left;
+        NoneFits = true;
+        ++Unplaced;
         continue;
       }
       assign(Step, I, Task.LastRun_.next(), *Chosen, Into);
     }
-    return Left;
+    return Unplaced;
   }
 
   /// Places all tasks of a gang under one run number, or none of them.
@@ -254,15 +254,15 @@
     if (Row == Config_.Workspaces_.end())
       return true;
     Resources Used = Table_.usedBy(Row->first);
-    if (const auto More = PlannedUsage_.find(Row->first);
-        More != PlannedUsage_.end())
-      Used += More->second;
+    if (const auto InThisPass = PlannedUsage_.find(Row->first);
+        InThisPass != PlannedUsage_.end())
+      Used += InThisPass->second;
     Used += Step.Spec_->PerTask_;
-    const Resources &Most = Row->second.MaxAllowed_;
-    return (Most.MilliCpus_ == 0 || Used.MilliCpus_ <= Most.MilliCpus_) &&
-           (Most.MemoryMb_ == 0 || Used.MemoryMb_ <= Most.MemoryMb_) &&
-           (Most.Accelerators_ == 0 ||
-            Used.Accelerators_ <= Most.Accelerators_);
+    const Resources &Limit = Row->second.MaxAllowed_;
+    return (Limit.MilliCpus_ == 0 || Used.MilliCpus_ <= Limit.MilliCpus_) &&
+           (Limit.MemoryMb_ == 0 || Used.MemoryMb_ <= Limit.MemoryMb_) &&
+           (Limit.Accelerators_ == 0 ||
+            Used.Accelerators_ <= Limit.Accelerators_);
   }
 
   const CellTable &Table_;
--- a/src/scheduling/tests/advicetabletest.cpp
+++ b/src/scheduling/tests/advicetabletest.cpp
@@ -10,31 +10,31 @@
 
 const TimePoint Start(std::chrono::hours(1));
 const StepName Step{jobs::JobId("job"), 0, 1};
-const jobs::WorkerId Good("good"), Bad("bad");
+const jobs::WorkerId Advised("good"), Unadvised("bad");
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(AdviceTableTest)
 
-BOOST_AUTO_TEST_CASE(TicketHoldsForItsTimeLessTheWay) {
+BOOST_AUTO_TEST_CASE(TicketIsUnusableShortlyBeforeItExpires) {
   AdviceTable Table;
   BOOST_TEST(Table.beginRequest(Step, Start));
   BOOST_TEST(!Table.beginRequest(Step, Start));
-  Table.recordAnswer(Step, {{Good, "t"}}, 3000ms, Start);
-  BOOST_TEST(Table.ticket(Step, Good, Start).value_or("") == "t");
-  BOOST_TEST(!Table.ticket(Step, Bad, Start));
-  BOOST_TEST(!Table.ticket(Step, Good, Start + 2800ms));
+  Table.recordAnswer(Step, {{Advised, "t"}}, 3000ms, Start);
+  BOOST_TEST(Table.ticket(Step, Advised, Start).value_or("") == "t");
+  BOOST_TEST(!Table.ticket(Step, Unadvised, Start));
+  BOOST_TEST(!Table.ticket(Step, Advised, Start + 2800ms));
 }
 
-BOOST_AUTO_TEST_CASE(AskedAgainBeforeTheTicketsEnd) {
+BOOST_AUTO_TEST_CASE(RequestIsRepeatedBeforeTicketsExpire) {
   AdviceTable Table;
   Table.beginRequest(Step, Start);
-  Table.recordAnswer(Step, {{Good, "t"}}, 3000ms, Start);
+  Table.recordAnswer(Step, {{Advised, "t"}}, 3000ms, Start);
   BOOST_TEST(!Table.beginRequest(Step, Start + 1s));
   BOOST_TEST(Table.beginRequest(Step, Start + 2500ms));
 }
 
-BOOST_AUTO_TEST_CASE(NoWorkerOrNoAnswerIsAskedAgainSoon) {
+BOOST_AUTO_TEST_CASE(RequestIsRepeatedAfterEmptyOrNoAnswer) {
   AdviceTable Table;
   Table.beginRequest(Step, Start);
   Table.recordAnswer(Step, {}, 3000ms, Start);
@@ -49,9 +49,9 @@
 BOOST_AUTO_TEST_CASE(RefusedTicketIsNotUsedAgain) {
   AdviceTable Table;
   Table.beginRequest(Step, Start);
-  Table.recordAnswer(Step, {{Good, "t"}}, 3000ms, Start);
-  Table.recordRefusal(Step, Good);
-  BOOST_TEST(!Table.ticket(Step, Good, Start));
+  Table.recordAnswer(Step, {{Advised, "t"}}, 3000ms, Start);
+  Table.recordRefusal(Step, Advised);
+  BOOST_TEST(!Table.ticket(Step, Advised, Start));
   BOOST_TEST(Table.beginRequest(Step, Start));
 }
 
--- a/src/scheduling/tests/runtimeestimatortest.cpp
+++ b/src/scheduling/tests/runtimeestimatortest.cpp
@@ -22,47 +22,49 @@
 /// Generates tasks with actual run times around one second, each declared wrong
 /// by a random factor.
 struct Tasks {
-  explicit Tasks(double Off) : Truth_(0, 0.5), Error_(0, Off) {}
+  explicit Tasks(double ErrorDeviation)
+      : LogActual_(0, 0.5), LogError_(0, ErrorDeviation) {}
 
   std::pair<jobs::Duration, jobs::Duration> next() {
-    const double True = 1e6 * std::exp(Truth_(Random_));
-    const double Told = True * std::exp(Error_(Random_));
-    return {jobs::Duration(static_cast<std::int64_t>(Told)),
-            jobs::Duration(static_cast<std::int64_t>(True))};
+    const double Actual = 1e6 * std::exp(LogActual_(Random_));
+    const double Declared = Actual * std::exp(LogError_(Random_));
+    return {jobs::Duration(static_cast<std::int64_t>(Declared)),
+            jobs::Duration(static_cast<std::int64_t>(Actual))};
   }
 
   std::mt19937 Random_{7};
-  std::normal_distribution<double> Truth_;
-  std::normal_distribution<double> Error_;
+  std::normal_distribution<double> LogActual_;
+  std::normal_distribution<double> LogError_;
 };
 
 /// Returns the mean absolute log error of the estimator and of the declared
 /// times over 2,000 tasks, after 200 tasks of training.
-std::pair<double, double> errors(double Off) {
-  Tasks Source(Off);
+std::pair<double, double> errors(double ErrorDeviation) {
+  Tasks Source(ErrorDeviation);
   RunTimeEstimator Estimator;
   for (int I = 0; I < 200; ++I) {
-    const auto [Told, True] = Source.next();
-    Estimator.recordRun(Queue, Told, True);
+    const auto [Declared, Actual] = Source.next();
+    Estimator.recordRun(Queue, Declared, Actual);
   }
-  double Ours = 0, Callers = 0;
+  double EstimatorError = 0, DeclaredError = 0;
   for (int I = 0; I < 2000; ++I) {
-    const auto [Told, True] = Source.next();
+    const auto [Declared, Actual] = Source.next();
     const auto Log = [](jobs::Duration Time) {
       return std::log(static_cast<double>(Time.count()));
     };
-    Ours += std::abs(Log(Estimator.expectedRunTime(Queue, declared(Told))) -
-                     Log(True));
-    Callers += std::abs(Log(Told) - Log(True));
+    EstimatorError +=
+        std::abs(Log(Estimator.expectedRunTime(Queue, declared(Declared))) -
+                 Log(Actual));
+    DeclaredError += std::abs(Log(Declared) - Log(Actual));
   }
-  return {Ours / 2000, Callers / 2000};
+  return {EstimatorError / 2000, DeclaredError / 2000};
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(RunTimeEstimatorTest)
 
-BOOST_AUTO_TEST_CASE(DeclaredTimesHoldUntilSomeRunsAreKnown) {
+BOOST_AUTO_TEST_CASE(DeclaredTimesAreUsedUntilEnoughRunsAreKnown) {
   RunTimeEstimator Estimator;
   for (std::uint64_t I = 1; I < RunTimeEstimator::MinRuns; ++I)
     Estimator.recordRun(Queue, 1s, 5s);
@@ -74,17 +76,17 @@
 // Guards against wrong scheduling due to wrong declarations: jobs declared too
 // short are treated as late although they could meet their deadlines, and jobs
 // declared too long delay the others.
-BOOST_AUTO_TEST_CASE(WildDeclarationsAreMended) {
-  const auto [Ours, Callers] = errors(0.9);
-  BOOST_TEST(Ours < 0.65 * Callers);
+BOOST_AUTO_TEST_CASE(WrongDeclarationsAreCorrected) {
+  const auto [EstimatorError, DeclaredError] = errors(0.9);
+  BOOST_TEST(EstimatorError < 0.65 * DeclaredError);
 }
 
-BOOST_AUTO_TEST_CASE(GoodDeclarationsAreFollowed) {
-  const auto [Ours, Callers] = errors(0.05);
-  BOOST_TEST(Ours < 1.3 * Callers);
+BOOST_AUTO_TEST_CASE(GoodDeclarationsArePreserved) {
+  const auto [EstimatorError, DeclaredError] = errors(0.05);
+  BOOST_TEST(EstimatorError < 1.3 * DeclaredError);
 }
 
-BOOST_AUTO_TEST_CASE(RunThatHungChangesLittle) {
+BOOST_AUTO_TEST_CASE(HungRunHasLittleEffect) {
   RunTimeEstimator Estimator;
   for (int I = 0; I < 100; ++I)
     Estimator.recordRun(Queue, 1s, 1s);
--- a/src/scheduling/tests/schedulertest.cpp
+++ b/src/scheduling/tests/schedulertest.cpp
@@ -83,7 +83,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(SchedulerTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(StepsWaitForThoseBefore) {
+BOOST_AUTO_TEST_CASE(StepsWaitForTheirDependencies) {
   worker("w", 10000);
   StepSpec Second = step(3, 100);
   Second.After_ = {0};
@@ -91,7 +91,7 @@
   BOOST_TEST(plan().size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(NoWorkerIsGivenMoreThanItsRoom) {
+BOOST_AUTO_TEST_CASE(WorkersAreNotOverallocated) {
   worker("w", 1000);
   worker("v", 500);
   job("a", {step(9, 400)});
@@ -101,7 +101,7 @@
 // Guards against large jobs becoming late at the start of a peak while small
 // jobs that have just arrived, and could wait for machines being moved, run
 // first.
-BOOST_AUTO_TEST_CASE(JobThatCanWaitTheLeastGoesFirst) {
+BOOST_AUTO_TEST_CASE(JobWithLeastSlackGoesFirst) {
   worker("w", 1000);
   job("large", {step(5, 200)}, 1000ms);
   job("small", {step(2, 200)});
@@ -112,7 +112,7 @@
 
 // A job with several remaining steps can have a later deadline but less slack
 // than a job with one step. The order must follow slack, not the deadline.
-BOOST_AUTO_TEST_CASE(SlackCountsNotTheDueTime) {
+BOOST_AUTO_TEST_CASE(SlackCountsNotTheDeadline) {
   worker("w", 1000);
   StepSpec Second = step(1, 1000), Third = step(1, 1000);
   Second.After_ = {0};
@@ -126,7 +126,7 @@
 
 // Both jobs are late: running the larger one first would only delay the smaller
 // one.
-BOOST_AUTO_TEST_CASE(SmallWorkGoesFirstAmongWhatIsLate) {
+BOOST_AUTO_TEST_CASE(SmallestLateJobGoesFirst) {
   worker("w", 1000);
   job("large", {step(10, 200)}, 20s);
   job("small", {step(2, 200)}, 10s);
@@ -138,7 +138,7 @@
 // Under overload, strict slack order would start every job just before it
 // becomes late, so that all miss their deadlines. Jobs that can no longer meet
 // theirs must yield to jobs that can.
-BOOST_AUTO_TEST_CASE(WhatCannotBeInTimeYields) {
+BOOST_AUTO_TEST_CASE(InfeasibleJobYieldsToFeasibleOnes) {
   worker("w", 1000);
   job("hopeless", {step(1, 1000)}, 2s);
   job("fresh", {step(5, 200)});
@@ -147,19 +147,19 @@
   BOOST_TEST(startsOf(Starts, "hopeless") == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(LateWorkTakesWhatIsLeft) {
+BOOST_AUTO_TEST_CASE(LateJobsGetRemainingCapacity) {
   worker("w", 1000);
   job("late", {step(1, 300)}, 10s);
   job("fresh", {step(1, 300)});
   BOOST_TEST(plan().size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(StandingTasksComeFirst) {
+BOOST_AUTO_TEST_CASE(LongRunningTasksComeFirst) {
   worker("w", 1000);
   job("work", {step(2, 500)});
-  StepSpec Standing = step(1, 1000);
-  Standing.LongRunning_ = true;
-  job("service", {Standing});
+  StepSpec Service = step(1, 1000);
+  Service.LongRunning_ = true;
+  job("service", {Service});
   const auto Starts = plan();
   BOOST_TEST(startsOf(Starts, "service") == 1u);
 }
@@ -174,9 +174,9 @@
 BOOST_AUTO_TEST_CASE(AntiAffinityLabelsAndGangs) {
   worker("w", 10000, {jobs::Label("gpu")});
   worker("v", 10000);
-  StepSpec Apart = step(5, 100);
-  Apart.AntiAffinity_ = 1;
-  job("apart", {Apart});
+  StepSpec Spread = step(5, 100);
+  Spread.AntiAffinity_ = 1;
+  job("apart", {Spread});
   StepSpec Labelled = step(2, 100);
   Labelled.Requirement_ = jobs::Label("gpu");
   job("labelled", {Labelled});
@@ -190,7 +190,7 @@
   BOOST_TEST(startsOf(Starts, "gang") == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(GangStartsWholeUnderOneNumber) {
+BOOST_AUTO_TEST_CASE(GangStartsUnderOneRunNumber) {
   worker("w", 10000);
   StepSpec Gang = step(4, 1000);
   Gang.Gang_ = true;
@@ -215,7 +215,7 @@
   BOOST_TEST(Starts[0].Worker_.Id_ == jobs::WorkerId("v"));
 }
 
-BOOST_AUTO_TEST_CASE(FillersCountNoProcessor) {
+BOOST_AUTO_TEST_CASE(FillersAllocateNoCpu) {
   worker("w", 1000);
   StepSpec Filler = step(3, 5000);
   Filler.Filler_ = true;
