--- a/src/capacity/upkeepplanner.h
+++ b/src/capacity/upkeepplanner.h
@@ -43,7 +43,7 @@
 /// Plans all upkeep waves. A machine is drained before its upkeep: finite tasks
 /// run to completion, long-running tasks are moved within the limit of
 /// unavailable tasks of their step. The next machines are drained while others
-/// are down, so that they are empty when their turn comes.
+/// are down, so that they are empty as soon as the wave allows the next ones.
 class UpkeepPlanner {
 public:
   /// Maximum share of a pool's machines that can be cordoned or down at a time,
--- a/src/jobs/celltable.h
+++ b/src/jobs/celltable.h
@@ -112,8 +112,9 @@
   void setAttemptLimit(AttemptLimit Limit) { AttemptLimit_ = std::move(Limit); }
 
   /// Sets the attempt limit of an event that is about to be applied and stored.
-  /// Without it, a replay would apply the limit configured at that time to a
-  /// failed run, and could yield another job state than callers have been told.
+  /// Without it, a replay would count a failed run against the limit configured
+  /// at the time of the replay, and could yield another job state than callers
+  /// have been told.
   /// No other effect of an event depends on the configuration.
   void recordAttemptLimit(Event &Item) const;
 
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -49,8 +49,8 @@
   static constexpr std::uint64_t EntriesPerSnapshot = 300;
   static constexpr std::size_t KeysPerTransaction = 30;
   /// Limits of the adaptive answer timeout. The store answers within a few
-  /// milliseconds, and 60 times slower when it is overloaded; an entry's own
-  /// pauses last up to 100 ms. All entries behind a lost answer wait for it.
+  /// milliseconds, and 60 times slower when it is overloaded; pauses of this
+  /// process last up to 100 ms. All writes behind a lost answer wait for it.
   static constexpr Duration MinAnswerTimeout = std::chrono::milliseconds(120);
   static constexpr Duration MaxAnswerTimeout = std::chrono::milliseconds(1200);
   /// Pause after a refused write: it had no effect, and an immediate retry
@@ -108,7 +108,8 @@
   /// Writes a snapshot of \p Table as the new base and compacts the log:
   /// removes the entries and the snapshot that it replaces. The table contains
   /// all committed entries and may contain later events, because replaying
-  /// these on top of the snapshot has no effect.
+  /// these on top of the snapshot has no effect. Returns Aborted if the
+  /// leadership was lost.
   absl::Status writeSnapshot(const jobs::CellTable &Table) {
     const Base Old = Base_;
     const std::uint64_t Index = Next_ - 1;
