--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -65,8 +65,8 @@
   /// a part or an entry is missing or malformed, or the store's error.
   absl::Status load(jobs::CellTable &Into, TimePoint Now) {
     Next_ = 1;
-    const auto Head =
-        Store_.range(Keys_.base(), fleet::Revision(0), wallDeadline(LoadTime));
+    const auto Head = Store_.range(Keys_.base(), fleet::Revision(0),
+                                   wallDeadline(LoadTimeout));
     if (!Head.ok())
       return Head.status();
     Base_ = Base();
@@ -152,7 +152,7 @@
   /// Divisor of the moving average of commit times: about the last five writes
   /// count.
   static constexpr int CommitTimeSmoothing = 5;
-  static constexpr Duration LoadTime = std::chrono::milliseconds(2000);
+  static constexpr Duration LoadTimeout = std::chrono::milliseconds(2000);
 
   /// Returns a transaction that applies only while the head key is this
   /// leader's.
@@ -169,8 +169,9 @@
   absl::Status loadSnapshot(jobs::CellTable &Into, TimePoint Now) {
     if (Base_.Parts_ == 0)
       return absl::OkStatus();
-    const auto Parts = Store_.range(Keys_.snapshotPrefix(Base_.Index_),
-                                    fleet::Revision(0), wallDeadline(LoadTime));
+    const auto Parts =
+        Store_.range(Keys_.snapshotPrefix(Base_.Index_), fleet::Revision(0),
+                     wallDeadline(LoadTimeout));
     if (!Parts.ok())
       return Parts.status();
     if (Parts->Items_.size() != Base_.Parts_)
@@ -184,11 +185,11 @@
 
   absl::Status loadLog(jobs::CellTable &Into, TimePoint Now) {
     const auto Log = Store_.range(Keys_.logPrefix(), fleet::Revision(0),
-                                  wallDeadline(LoadTime));
+                                  wallDeadline(LoadTimeout));
     if (!Log.ok())
       return Log.status();
     Next_ = Base_.Index_ + 1;
-    JournalClock Ages;
+    JournalClock Clock;
     for (const store::KeyValue &Item : Log->Items_) {
       const std::uint64_t Index = indexOfLogKey(Item.Key_);
       if (Index <= Base_.Index_)
@@ -199,7 +200,7 @@
       const auto Group = jobs::decodeGroup(Item.Value_);
       if (!Group.ok())
         return Group.status();
-      Into.advanceTime(Ages.advance(Group->Stamp_));
+      Into.advanceTime(Clock.advance(Group->Stamp_));
       for (const jobs::Event &Event : Group->Events_)
         Into.apply(Event, Now);
       ++Next_;
@@ -224,14 +225,13 @@
   absl::StatusOr<fleet::Revision>
   commitUntilKnown(const store::Transaction &Txn, const std::string &Key,
                    const std::string &Value) {
-    store::Transaction Guarded = Txn;
+    store::Transaction Fenced = Txn;
     while (Lead_.holds(Term_)) {
       // The head may have been rewritten since the last attempt.
       const jobs::FencingToken Token = Lead_.token();
-      Guarded.Compares_.front() = headRevisionIs(Token);
+      Fenced.Compares_.front() = headRevisionIs(Token);
       const TimePoint SentAt = SteadyClock().now();
-      const auto Written =
-          Store_.commit(Guarded, wallDeadline(Answers_.wait()));
+      const auto Written = Store_.commit(Fenced, wallDeadline(Answers_.wait()));
       if (Written.ok())
         Answers_.answered(SteadyClock().now() - SentAt);
       if (Written.ok() && Written->Succeeded_) {
--- a/src/journal/leadership.h
+++ b/src/journal/leadership.h
@@ -30,7 +30,7 @@
   /// do not wait for each other.
   static constexpr std::int64_t LeaseSeconds = 1;
   /// Timeout of a call to the store.
-  static constexpr Duration CallTime = std::chrono::milliseconds(900);
+  static constexpr Duration CallTimeout = std::chrono::milliseconds(900);
   /// Allowance for the time between checking the clock and sending an answer.
   static constexpr Duration AnswerMargin = std::chrono::milliseconds(100);
 
@@ -48,7 +48,7 @@
   /// Writes the head key if its revision is still \p Before.
   absl::StatusOr<bool> campaignAgainst(fleet::Revision Before) {
     const auto Granted =
-        Store_.grantLease(LeaseSeconds, wallDeadline(CallTime));
+        Store_.grantLease(LeaseSeconds, wallDeadline(CallTimeout));
     if (!Granted.ok())
       return Granted.status();
     ++Self_.Attempt_;
@@ -57,7 +57,7 @@
     store::Transaction Txn;
     Txn.Compares_ = {{Keys_.head(), Before}};
     Txn.Puts_ = {{Keys_.head(), encodeLeader(Self_), Lease_}};
-    const auto Written = Store_.commit(Txn, wallDeadline(CallTime));
+    const auto Written = Store_.commit(Txn, wallDeadline(CallTimeout));
     if (Written.ok() && Written->Succeeded_ && !Resigned_)
       return adopt(jobs::FencingToken(Written->StoreRevision_.value()), SentAt);
     return readBack();
@@ -106,7 +106,7 @@
     store::Transaction Txn;
     Txn.Compares_ = {{Keys_.head(), fleet::Revision(Before.value())}};
     Txn.Puts_ = {{Keys_.head(), encodeLeader(Self_), Lease_}};
-    const auto Written = Store_.commit(Txn, wallDeadline(CallTime));
+    const auto Written = Store_.commit(Txn, wallDeadline(CallTimeout));
     if (!Written.ok())
       return Written.status();
     if (Self_.Token_ != Before)
@@ -128,7 +128,7 @@
   /// leadership is lost.
   absl::StatusOr<bool> renew() {
     const TimePoint SentAt = SteadyClock().now();
-    const auto Alive = Store_.keepLease(Lease_, wallDeadline(CallTime));
+    const auto Alive = Store_.keepLease(Lease_, wallDeadline(CallTimeout));
     if (absl::IsResourceExhausted(Alive.status()) ||
         absl::IsUnavailable(Alive.status()))
       ++Refusals_;
@@ -164,7 +164,7 @@
     store::Transaction Txn;
     Txn.Compares_ = {{Keys_.head(), fleet::Revision(Token.value())}};
     Txn.Deletes_ = {Keys_.head()};
-    const auto Written = Store_.commit(Txn, wallDeadline(CallTime));
+    const auto Written = Store_.commit(Txn, wallDeadline(CallTimeout));
     framework::log::info("leadership.resigned")
         .field("token", Token.value())
         .field("store", Written.ok() ? "acknowledged" : "no answer");
@@ -203,8 +203,8 @@
   /// Reads the head key after a campaign without a positive answer, and adopts
   /// it if it is this process's own.
   absl::StatusOr<bool> readBack() {
-    const auto Read =
-        Store_.range(Keys_.head(), fleet::Revision(0), wallDeadline(CallTime));
+    const auto Read = Store_.range(Keys_.head(), fleet::Revision(0),
+                                   wallDeadline(CallTimeout));
     if (!Read.ok())
       return Read.status();
     for (const store::KeyValue &Item : Read->Items_) {
@@ -220,8 +220,8 @@
   /// another process has taken over.
   absl::StatusOr<bool> adoptRewritten(jobs::FencingToken Before) {
     const TimePoint SentAt = SteadyClock().now();
-    const auto Read =
-        Store_.range(Keys_.head(), fleet::Revision(0), wallDeadline(CallTime));
+    const auto Read = Store_.range(Keys_.head(), fleet::Revision(0),
+                                   wallDeadline(CallTimeout));
     if (!Read.ok())
       return Read.status();
     // The caller's term may have ended during the read. Adopting the head key
@@ -255,8 +255,8 @@
   void removeStaleHead() {
     store::Transaction Txn;
     Txn.Deletes_ = {Keys_.head()};
-    const auto Read =
-        Store_.range(Keys_.head(), fleet::Revision(0), wallDeadline(CallTime));
+    const auto Read = Store_.range(Keys_.head(), fleet::Revision(0),
+                                   wallDeadline(CallTimeout));
     if (!Read.ok() || Read->Items_.empty())
       return;
     const store::KeyValue &Item = Read->Items_.front();
@@ -264,7 +264,7 @@
     if (!Seen || !Seen->sameProcess(Self_) || mayAdopt(*Seen))
       return;
     Txn.Compares_ = {{Keys_.head(), Item.ModRevision_}};
-    const auto Written = Store_.commit(Txn, wallDeadline(CallTime));
+    const auto Written = Store_.commit(Txn, wallDeadline(CallTimeout));
     framework::log::info("leadership.stale_attempt_removed")
         .field("attempt", Seen->Attempt_)
         .field("resigned", Resigned_ ? "yes" : "no")
