--- a/src/capacity/tests/poolplannertest.cpp
+++ b/src/capacity/tests/poolplannertest.cpp
@@ -56,7 +56,7 @@
   BOOST_TEST(Machines_[Orders[0].Machine_].Record_.Pool_ == Cold);
 }
 
-BOOST_AUTO_TEST_CASE(MachinesOrderedByAnEarlierHolderAreLeftAlone) {
+BOOST_AUTO_TEST_CASE(MachinesOrderedByAnEarlierLeaderAreSkipped) {
   add("a", Hot);
   for (const char *Name : {"b", "c", "d", "e"})
     add(Name, Cold);
@@ -70,7 +70,7 @@
   BOOST_TEST(Orders[1].Machine_ == MachineId("d"));
 }
 
-BOOST_AUTO_TEST_CASE(OneLargeJobForetellsNothing) {
+BOOST_AUTO_TEST_CASE(SingleLargeJobPredictsNoLoad) {
   ArrivedLoad One;
   One.add(40000);
   BOOST_TEST(One.lowerEstimate() == 0);
@@ -80,10 +80,10 @@
   BOOST_TEST(Many.lowerEstimate() == 36000);
 }
 
-// Callers wait at the start of a peak: jobs come ten times as fast as before,
-// but machines were sent for only as the queue grew, a few at a time, and each
-// takes longer than a second to come.
-BOOST_AUTO_TEST_CASE(MachinesAreSentForWhenJobsBeginToPourIn) {
+// Guards against a slow start of a peak: jobs arrive ten times as fast as
+// before, but machines were ordered only as the backlog grew, a few at a time,
+// and each takes more than a second to arrive.
+BOOST_AUTO_TEST_CASE(MachinesAreOrderedWhenArrivalsIncrease) {
   add("a", Hot);
   for (const char *Name : {"b", "c", "d", "e", "f"})
     add(Name, Cold);
@@ -93,9 +93,9 @@
   BOOST_TEST(plan().size() == 3u);
 }
 
-// Callers wait all through the rise of a peak: machines were sent for by what
-// was asked at that moment, and more was asked by the time they came.
-BOOST_AUTO_TEST_CASE(MachinesAreSentForWhatWillBeAskedWhenTheyCome) {
+// Guards against a shortage during the whole rise of a peak: machines were
+// ordered for the current demand, which had grown by the time they arrived.
+BOOST_AUTO_TEST_CASE(IncreaseIsExtrapolatedUntilMachinesArrive) {
   add("a", Hot);
   for (const char *Name : {"b", "c", "d", "e", "f", "g", "h"})
     add(Name, Cold);
@@ -107,7 +107,7 @@
   BOOST_TEST(plan().size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(RiseByChanceIsNone) {
+BOOST_AUTO_TEST_CASE(RandomIncreaseIsIgnored) {
   ArrivedLoad Before, Now;
   Before.add(1000);
   Now.add(1000);
@@ -125,9 +125,9 @@
   BOOST_TEST(plan().empty());
 }
 
-// A job that comes to a pool at rest waits for a machine to come back: the
-// pool had given all but one of those that it did not use.
-BOOST_AUTO_TEST_CASE(PoolKeepsWhatItNeedsAndTheSpareOnes) {
+// Guards against an idle pool giving away all but one of its unused machines,
+// so that its next job has to wait for one to return.
+BOOST_AUTO_TEST_CASE(PoolKeepsRequiredAndSpareMachines) {
   add("a", Hot);
   for (const char *Name : {"b", "c", "d", "e"})
     add(Name, Cold);
@@ -136,8 +136,8 @@
   BOOST_TEST(plan().size() == 1u);
 }
 
-// Tasks that last wait in a pool whose machines went to a peak elsewhere: their
-// processor time fitted into the rest, their memory did not.
+// Long-running tasks waited in a pool that had lost machines to another pool's
+// peak: the remaining ones had enough CPU for them but not enough memory.
 BOOST_AUTO_TEST_CASE(PoolKeepsTheMemoryThatItNeeds) {
   add("a", Hot);
   for (const char *Name : {"b", "c", "d", "e"})
@@ -147,8 +147,8 @@
   BOOST_TEST(plan().empty());
 }
 
-// A task that lasts stays away while all of its pool's machines have some room,
-// none enough for it, and together more than the pool asks for.
+// A long-running task was not started because no machine of its pool had enough
+// free resources for it, while their total exceeded the pool's demand.
 BOOST_AUTO_TEST_CASE(TaskThatLastsAndFitsNowhereBringsAMachine) {
   for (const char *Name : {"a", "b"}) {
     add(Name, Hot);
@@ -167,8 +167,9 @@
   BOOST_TEST(plan().empty());
 }
 
-// No machine would do: each pass would send one more.
-BOOST_AUTO_TEST_CASE(TaskThatNoMachineHoldsBringsNone) {
+// No machine is large enough for the task; without this check each pass would
+// order one more.
+BOOST_AUTO_TEST_CASE(TaskTooLargeForAnyMachineOrdersNone) {
   add("a", Hot);
   Machines_[MachineId("a")].FiniteRuns_ = 1;
   for (const char *Name : {"c", "d", "e"})
@@ -177,9 +178,9 @@
   BOOST_TEST(plan().empty());
 }
 
-// A machine that was on its way to the pool counts as there, or each pass
-// would send more until the first has arrived.
-BOOST_AUTO_TEST_CASE(MachinesOnTheirWayCount) {
+// A machine that is being moved to the pool counts as available. Otherwise each
+// pass would order more until the first one arrives.
+BOOST_AUTO_TEST_CASE(MachinesInTransitionCount) {
   add("a", Hot);
   add("b", Hot);
   Machines_[MachineId("b")].InTransition_ = true;
@@ -190,10 +191,10 @@
   BOOST_TEST(plan().empty());
 }
 
-// A pool begins its turn with what a peak elsewhere has left of it: its
-// machines stood idle there until someone asked for them, and then took a
-// move's time.
-BOOST_AUTO_TEST_CASE(MachinesGoHomeAfterAPeakElsewhere) {
+// Guards against a pool starting its peak with too few machines because its own
+// ones are idle in another pool, where an earlier peak needed them, and have to
+// be moved first.
+BOOST_AUTO_TEST_CASE(IdleMachinesReturnToTheirHomePool) {
   for (const char *Name : {"a", "b"})
     add(Name, Hot);
   add("c", Hot, 1s);
@@ -209,7 +210,7 @@
   BOOST_TEST(plan().empty());
 }
 
-BOOST_AUTO_TEST_CASE(WhatWasSwitchedOnIsSwitchedOffAgain) {
+BOOST_AUTO_TEST_CASE(MachinesFromStandbyAreSwitchedOffAgain) {
   for (const char *Name : {"a", "c"})
     add(Name, Hot);
   add("b", Hot, 1s);
--- a/src/journal/tests/journaltest.cpp
+++ b/src/journal/tests/journaltest.cpp
@@ -30,14 +30,14 @@
   return Item;
 }
 
-/// One entry with its leadership and journal.
+/// An entry with its leadership and journal.
 struct Entry {
   Entry(FakeStore &Store, const char *Name, std::uint64_t Incarnation = 1)
       : Store_(Store), Lead_(Store, Keys, leader(Name, Incarnation)) {
     Log_.emplace(Store_, Keys, Lead_);
   }
 
-  /// Campaigns; each leadership has a journal of its own.
+  /// Campaigns for leadership. Each leadership has a journal of its own.
   absl::StatusOr<bool> campaign() {
     const auto Won = Lead_.campaign();
     Log_.emplace(Store_, Keys, Lead_);
@@ -56,7 +56,7 @@
     return Table;
   }
 
-  /// The head as a watch shows it.
+  /// Returns the head key as a watch reports it.
   Leader head() {
     const auto Read = Store_.range(Keys.head(), fleet::Revision(0), {});
     BOOST_REQUIRE(Read->Items_.size() == 1u);
@@ -80,7 +80,7 @@
   BOOST_TEST(*Second_.campaign());
 }
 
-BOOST_AUTO_TEST_CASE(TokensRiseFromHolderToHolder) {
+BOOST_AUTO_TEST_CASE(TokenGrowsWithEachLeader) {
   BOOST_REQUIRE(*First_.campaign());
   const auto Before = First_.Lead_.token();
   First_.Lead_.resign();
@@ -88,7 +88,7 @@
   BOOST_TEST((Second_.Lead_.token() > Before));
 }
 
-BOOST_AUTO_TEST_CASE(CampaignWhoseAnswerWasLostIsFoundOut) {
+BOOST_AUTO_TEST_CASE(CampaignWithLostAnswerIsDetected) {
   Store_.Next_ = FakeStore::Fault::AnswerLost;
   BOOST_TEST(*First_.campaign());
   BOOST_TEST(First_.Lead_.held());
@@ -101,8 +101,8 @@
   BOOST_TEST(!First_.Log_->append({accepted("a")}).ok());
 }
 
-// A caller asks a cut-off leader for a job that its successor has taken, and
-// is told that there is no such job.
+// Guards against a leader that is cut off from the store and answers "no such
+// job" for a job that its successor has accepted.
 BOOST_AUTO_TEST_CASE(HolderWithoutTheStoreStopsAnsweringBeforeItsLeaseEnds) {
   BOOST_REQUIRE(*First_.campaign());
   const TimePoint Renewed = First_.Lead_.confirmedAt();
@@ -111,7 +111,7 @@
   BOOST_TEST(First_.Lead_.held());
 }
 
-BOOST_AUTO_TEST_CASE(SuccessorReadsWhatWasAcknowledged) {
+BOOST_AUTO_TEST_CASE(SuccessorReadsAcknowledgedEntries) {
   BOOST_REQUIRE(*First_.campaign());
   BOOST_REQUIRE(First_.Log_->append({accepted("a")}).ok());
   BOOST_REQUIRE(First_.Log_->append({accepted("b")}).ok());
@@ -132,10 +132,10 @@
   BOOST_TEST(!Store_.has(Keys.log(3)));
 }
 
-// A caller was told that the outcome is unknown and its job must not appear
-// after a successor has said that there is none: the write of the former
-// leader reaches the store only after the takeover.
-BOOST_AUTO_TEST_CASE(LateWriteOfAFormerHolderDoesNothing) {
+// A write of the former leader reaches the store only after the takeover. The
+// job, whose caller was told that the outcome is unknown, must not appear after
+// the new leader has reported that it does not exist.
+BOOST_AUTO_TEST_CASE(LateWriteOfAFormerLeaderHasNoEffect) {
   BOOST_REQUIRE(*First_.campaign());
   store::Transaction Late;
   Late.Compares_ = {
@@ -151,11 +151,11 @@
   BOOST_TEST(!Store_.has(Keys.log(1)));
 }
 
-// A caller is told that its job is stored, and the cell does not know the job.
-// The process loses its leadership while an entry is on its way, and wins the
-// next one. The former term sent its entry again under the new token: it was
-// stored behind the back of the new term, whose own first entry then failed.
-// Proof: the entry is in the store, and the new term's table lacks its job.
+// Guards against a job that is acknowledged but unknown to the cell. The
+// process loses its leadership while an entry is being written and wins the
+// next term. The former term sent its entry again under the new token: it was
+// stored, but the new term's table lacked its job, and the new term's own first
+// entry then failed.
 BOOST_AUTO_TEST_CASE(EntryOfAFormerTermIsNotSentUnderTheNextOne) {
   BOOST_REQUIRE(*First_.campaign());
   std::optional<Journal<FakeStore>> Next;
@@ -174,18 +174,18 @@
   BOOST_TEST(Next->append({accepted("b")}).ok());
 }
 
-// The leader was frozen while its lease ended. On waking it must not tell a
-// caller that the job is stored.
-BOOST_AUTO_TEST_CASE(FormerHolderLearnsThatItMayNotWrite) {
+// A leader was paused while its lease expired. After resuming it must not
+// acknowledge a job.
+BOOST_AUTO_TEST_CASE(FormerLeaderCannotAppend) {
   BOOST_REQUIRE(*First_.campaign());
   Store_.endLease(1);
   BOOST_REQUIRE(*Second_.campaign());
   BOOST_TEST(absl::IsAborted(First_.Log_->append({accepted("a")})));
 }
 
-// Two entries answer callers for one cell: a peer means to take up an offer of
-// the leadership, its write is late, and meanwhile the leader goes on.
-BOOST_AUTO_TEST_CASE(HeadThatWasWrittenAnewIsNotTakenOver) {
+// Guards against two leaders of one cell: a peer accepts an offer of the
+// leadership, but its write is delayed and the leader has continued meanwhile.
+BOOST_AUTO_TEST_CASE(RewrittenHeadIsNotTakenOver) {
   BOOST_REQUIRE(*First_.campaign());
   const Leader Offered = First_.Lead_.self();
   BOOST_REQUIRE(First_.Log_->append({accepted("a")}).ok());
@@ -195,9 +195,9 @@
   BOOST_TEST(First_.Log_->append({accepted("b")}).ok());
 }
 
-// Callers wait for seconds: the store is slow, a leader that has written its
-// head anew hears no answer, takes its own write for a peer's and steps down,
-// though nobody else leads.
+// Guards against seconds without a leader: with a slow store, a leader got no
+// answer to a rewrite of its head key, mistook its own write for a peer's and
+// stepped down.
 BOOST_AUTO_TEST_CASE(RewriteWhoseAnswerWasLostIsFoundOut) {
   BOOST_REQUIRE(*First_.campaign());
   Store_.Next_ = FakeStore::Fault::AnswerLost;
@@ -206,9 +206,10 @@
   BOOST_TEST(First_.Log_->append({accepted("a")}).ok());
 }
 
-// The answer to a rewrite of the head is lost, and the next entry's condition
-// fails before the leader has found out: it must not step down for that, or
-// callers wait for a lease to run out that nobody else wants.
+// The answer to a rewrite of the head key is lost, and the condition of the
+// next entry fails before the leader has found the new head key. It must not
+// step down, or callers wait for a lease to expire although no other process
+// leads.
 BOOST_AUTO_TEST_CASE(EntryWaitsForARewriteWithoutAnswer) {
   BOOST_REQUIRE(*First_.campaign());
   Store_.Next_ = FakeStore::Fault::AnswerLost;
@@ -219,11 +220,11 @@
   BOOST_TEST(Store_.has(Keys.log(1)));
 }
 
-// Callers wait for a lease to run out though an entry has won the cell. The
-// watch shows it its own new head before the answer to its write, and it renews
-// the lease to take the head up; the answer comes and a term begins. The
-// renewal stays without answer, and gave up the leadership that was not its
-// own.
+// Guards against a won leadership being given up, after which callers wait for
+// its lease to expire. The watch reports the entry's own head key before the
+// answer to its write, and the entry renews the lease to adopt it. Then the
+// answer arrives and the term starts; the renewal, which times out, used to end
+// this term.
 BOOST_AUTO_TEST_CASE(RenewalWithoutAnswerLeavesAWonLeadership) {
   bool Answered = false;
   boost::fibers::fiber Watch;
@@ -244,10 +245,11 @@
   BOOST_TEST(First_.Log_->append({accepted("a")}).ok());
 }
 
-// A cell has a leader that does nothing: it renews its lease and schedules no
-// job until its process ends. The answer to a rewrite of the head was lost, and
-// while the leader looked for it its term ended. What it found made it lead
-// again, without a term: its own head is passed over while it leads.
+// Guards against a leader that renews its lease but schedules no jobs until its
+// process ends. The answer to a rewrite of the head key was lost, and the term
+// ended while the leader read the key back. Adopting it then restored the
+// leadership without a term, and while a process leads it ignores its own head
+// key.
 BOOST_AUTO_TEST_CASE(RewriteThatIsFoundOutTooLateBeginsNothing) {
   BOOST_REQUIRE(*First_.campaign());
   Store_.Next_ = FakeStore::Fault::AnswerLost;
@@ -257,9 +259,10 @@
   BOOST_TEST(!First_.Lead_.held());
 }
 
-// Callers wait for the lease of an entry that is gone. It hands the cell over
-// when it leaves, but its delete is lost; the watch shows it its own head,
-// which it took up again, renewed, and left behind when its process ended.
+// Guards against waiting for the lease of an entry that has shut down. The
+// delete of its head key was lost when it resigned. The watch then reported the
+// entry's own head key, which it adopted and renewed, and left behind when its
+// process ended.
 BOOST_AUTO_TEST_CASE(LeavingEntryDoesNotTakeItsHeadUpAgain) {
   BOOST_REQUIRE(*First_.campaign());
   Store_.Next_ = FakeStore::Fault::Lost;
@@ -269,22 +272,22 @@
   BOOST_TEST(!Store_.has(Keys.head()));
 }
 
-// The same when it leaves while its write of the head is on its way.
-BOOST_AUTO_TEST_CASE(LeavingEntryGivesBackAHeadThatItWinsMeanwhile) {
+// The same if it resigns while its write of the head key is pending.
+BOOST_AUTO_TEST_CASE(ResignedEntryRemovesAHeadThatItWins) {
   Store_.BeforeAnswer_ = [&] { First_.Lead_.resign(); };
   BOOST_TEST(!*First_.campaign());
   BOOST_TEST(!First_.Lead_.held());
   BOOST_TEST(!Store_.has(Keys.head()));
 }
 
-BOOST_AUTO_TEST_CASE(HolderThatWasReplacedCannotGoOn) {
+BOOST_AUTO_TEST_CASE(ReplacedLeaderCannotContinue) {
   BOOST_REQUIRE(*First_.campaign());
   BOOST_TEST(*Second_.Lead_.takeOverFrom(First_.Lead_.self()));
   BOOST_TEST(!*First_.Lead_.rewriteHead());
   BOOST_TEST(absl::IsAborted(First_.Log_->append({accepted("a")})));
 }
 
-BOOST_AUTO_TEST_CASE(AgeCountsEachHoldersOwnTime) {
+BOOST_AUTO_TEST_CASE(ClockCountsEachLeadersOwnTime) {
   JournalClock Age;
   const auto At = [&](std::uint64_t Token, Duration Since) {
     return Age.advance({jobs::FencingToken(Token), Since});
@@ -295,12 +298,12 @@
   BOOST_TEST((At(9, 150ms) == 0ms));
 }
 
-// Two holders take turns on one machine within the platform's lease time: the
-// later one knows only from the journal how long ago the order left. It leaves
-// after its entry is stored, so time counts from the entry after it.
+// Two leaders may order the same machine within the platform's lease time. The
+// later one knows only from the journal how long ago the order was sent. An
+// order is sent after its entry is stored, so time counts from the next entry.
 BOOST_AUTO_TEST_CASE(JournalTellsHowLongAgoAMachineWasOrdered) {
   BOOST_REQUIRE(*First_.campaign());
-  const jobs::MachineId Early("m1"), Last("m2");
+  const jobs::MachineId FirstOrdered("m1"), LastOrdered("m2");
   const auto Put = [&](std::uint64_t Index, std::vector<Event> Events,
                        Duration Since) {
     store::Transaction Txn;
@@ -308,16 +311,16 @@
     Txn.Puts_ = {{Keys.log(Index), jobs::encodeGroup(Events, Stamp), 0}};
     BOOST_REQUIRE(Store_.commit(Txn, {}).ok());
   };
-  Put(1, {jobs::MachineOrdered{Early, fleet::PoolName("off")}}, 1s);
+  Put(1, {jobs::MachineOrdered{FirstOrdered, fleet::PoolName("off")}}, 1s);
   Put(2, {accepted("a")}, 4s);
-  Put(3, {jobs::MachineOrdered{Last, fleet::PoolName("on")}}, 6s);
+  Put(3, {jobs::MachineOrdered{LastOrdered, fleet::PoolName("on")}}, 6s);
   Store_.endLease(1);
   BOOST_REQUIRE(*Second_.campaign());
   const CellTable Loaded = loadBy(Second_);
   BOOST_REQUIRE(Loaded.machineOrders().size() == 2u);
-  BOOST_TEST((Loaded.machineOrders().at(Early).SinceLastOrder_ == 2s));
-  BOOST_TEST((Loaded.machineOrders().at(Last).SinceLastOrder_ == 0s));
-  BOOST_TEST(Loaded.machineOrders().at(Early).HomePool_ ==
+  BOOST_TEST((Loaded.machineOrders().at(FirstOrdered).SinceLastOrder_ == 2s));
+  BOOST_TEST((Loaded.machineOrders().at(LastOrdered).SinceLastOrder_ == 0s));
+  BOOST_TEST(Loaded.machineOrders().at(FirstOrdered).HomePool_ ==
              fleet::PoolName("off"));
 }
 
@@ -337,7 +340,7 @@
              fleet::PoolName("off"));
 }
 
-BOOST_AUTO_TEST_CASE(SnapshotTakesThePlaceOfTheEntries) {
+BOOST_AUTO_TEST_CASE(SnapshotReplacesEntries) {
   BOOST_REQUIRE(*First_.campaign());
   CellTable Table;
   for (int I = 0; I < 40; ++I) {
@@ -356,10 +359,10 @@
   BOOST_TEST(Loaded.find(JobId("after")));
 }
 
-// Every job of the cell is gone for its successor: a base whose answer was
-// lost is written again by the store seconds later, over a newer one, and the
-// entries that it counts on have been removed.
-BOOST_AUTO_TEST_CASE(LateBaseDoesNotTakeThePlaceOfANewerOne) {
+// Guards against the loss of all jobs of a cell after a takeover: a delayed
+// write of an older base was applied over a newer one, although the entries
+// that follow the older base had been removed.
+BOOST_AUTO_TEST_CASE(LateBaseDoesNotReplaceANewerOne) {
   BOOST_REQUIRE(*First_.campaign());
   CellTable Table;
   const auto Append = [&](const std::string &Id) {
@@ -369,7 +372,7 @@
   Append("a");
   BOOST_REQUIRE(First_.Log_->writeSnapshot(Table).ok());
   Append("b");
-  // The part is written, the base is kept back and written by a second try.
+  // The part is written; the base write is delayed and succeeds on a retry.
   Store_.Next_ = FakeStore::Fault::Late;
   Store_.PassFirst_ = 1;
   BOOST_REQUIRE(First_.Log_->writeSnapshot(Table).ok());
--- a/src/scheduling/tests/schedulertest.cpp
+++ b/src/scheduling/tests/schedulertest.cpp
@@ -83,7 +83,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(SchedulerTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(StepsWaitForThoseBefore) {
+BOOST_AUTO_TEST_CASE(StepsWaitForTheirDependencies) {
   worker("w", 10000);
   StepSpec Second = step(3, 100);
   Second.After_ = {0};
@@ -91,16 +91,17 @@
   BOOST_TEST(plan().size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(NoWorkerIsGivenMoreThanItsRoom) {
+BOOST_AUTO_TEST_CASE(WorkersAreNotOverallocated) {
   worker("w", 1000);
   worker("v", 500);
   job("a", {step(9, 400)});
   BOOST_TEST(plan().size() == 3u);
 }
 
-// At the begin of a peak large jobs wait until they are late, though small ones
-// that came just now could wait for the machines that are on their way.
-BOOST_AUTO_TEST_CASE(JobThatCanWaitTheLeastGoesFirst) {
+// Guards against large jobs becoming late at the start of a peak while small
+// jobs that have just arrived, and could wait for machines being moved, run
+// first.
+BOOST_AUTO_TEST_CASE(JobWithLeastSlackGoesFirst) {
   worker("w", 1000);
   job("large", {step(5, 200)}, 1000ms);
   job("small", {step(2, 200)});
@@ -109,9 +110,9 @@
   BOOST_TEST(startsOf(Starts, "small") == 0u);
 }
 
-// A job with steps still to come is due later than one without and yet must go
-// on first: its slack is what counts, not when it is due.
-BOOST_AUTO_TEST_CASE(SlackCountsNotTheDueTime) {
+// A job with several remaining steps can have a later deadline but less slack
+// than a job with one step. The order must follow slack, not the deadline.
+BOOST_AUTO_TEST_CASE(SlackCountsNotTheDeadline) {
   worker("w", 1000);
   StepSpec Second = step(1, 1000), Third = step(1, 1000);
   Second.After_ = {0};
@@ -123,8 +124,9 @@
   BOOST_TEST(startsOf(Starts, "short") == 0u);
 }
 
-// Two jobs that are late: the larger would hold up the smaller for nothing.
-BOOST_AUTO_TEST_CASE(SmallWorkGoesFirstAmongWhatIsLate) {
+// Both jobs are late: running the larger one first would only delay the smaller
+// one.
+BOOST_AUTO_TEST_CASE(SmallestLateJobGoesFirst) {
   worker("w", 1000);
   job("large", {step(10, 200)}, 20s);
   job("small", {step(2, 200)}, 10s);
@@ -133,9 +135,10 @@
   BOOST_TEST(startsOf(Starts, "large") == 3u);
 }
 
-// Under a load that is too high everything would be begun just before it is
-// late, and be late: what can no longer be in time yields to what can.
-BOOST_AUTO_TEST_CASE(WhatCannotBeInTimeYields) {
+// Under overload, strict slack order would start every job just before it
+// becomes late, so that all miss their deadlines. Jobs that can no longer meet
+// theirs must yield to jobs that can.
+BOOST_AUTO_TEST_CASE(InfeasibleJobYieldsToFeasibleOnes) {
   worker("w", 1000);
   job("hopeless", {step(1, 1000)}, 2s);
   job("fresh", {step(5, 200)});
@@ -144,19 +147,19 @@
   BOOST_TEST(startsOf(Starts, "hopeless") == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(LateWorkTakesWhatIsLeft) {
+BOOST_AUTO_TEST_CASE(LateJobsGetRemainingCapacity) {
   worker("w", 1000);
   job("late", {step(1, 300)}, 10s);
   job("fresh", {step(1, 300)});
   BOOST_TEST(plan().size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(StandingTasksComeFirst) {
+BOOST_AUTO_TEST_CASE(LongRunningTasksComeFirst) {
   worker("w", 1000);
   job("work", {step(2, 500)});
-  StepSpec Standing = step(1, 1000);
-  Standing.LongRunning_ = true;
-  job("service", {Standing});
+  StepSpec Service = step(1, 1000);
+  Service.LongRunning_ = true;
+  job("service", {Service});
   const auto Starts = plan();
   BOOST_TEST(startsOf(Starts, "service") == 1u);
 }
@@ -171,9 +174,9 @@
 BOOST_AUTO_TEST_CASE(AntiAffinityLabelsAndGangs) {
   worker("w", 10000, {jobs::Label("gpu")});
   worker("v", 10000);
-  StepSpec Apart = step(5, 100);
-  Apart.AntiAffinity_ = 1;
-  job("apart", {Apart});
+  StepSpec Spread = step(5, 100);
+  Spread.AntiAffinity_ = 1;
+  job("apart", {Spread});
   StepSpec Labelled = step(2, 100);
   Labelled.Requirement_ = jobs::Label("gpu");
   job("labelled", {Labelled});
@@ -183,11 +186,11 @@
   const auto Starts = plan();
   BOOST_TEST(startsOf(Starts, "apart") == 2u);
   BOOST_TEST(startsOf(Starts, "labelled") == 2u);
-  // Room for some of the gang only: none starts.
+  // Only a part of the gang fits, so none of it starts.
   BOOST_TEST(startsOf(Starts, "gang") == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(GangStartsWholeUnderOneNumber) {
+BOOST_AUTO_TEST_CASE(GangStartsUnderOneRunNumber) {
   worker("w", 10000);
   StepSpec Gang = step(4, 1000);
   Gang.Gang_ = true;
@@ -212,7 +215,7 @@
   BOOST_TEST(Starts[0].Worker_.Id_ == jobs::WorkerId("v"));
 }
 
-BOOST_AUTO_TEST_CASE(FillersCountNoProcessor) {
+BOOST_AUTO_TEST_CASE(FillersAllocateNoCpu) {
   worker("w", 1000);
   StepSpec Filler = step(3, 5000);
   Filler.Filler_ = true;
