--- a/src/idempotency/idempotencytypes.h
+++ b/src/idempotency/idempotencytypes.h
@@ -87,8 +87,10 @@
 constexpr std::uint32_t BucketCount = 128;
 Bucket bucketOf(const RecordName &Name);
 
-/// Homes that must agree, out of \p Homes.
-constexpr std::size_t quorumOf(std::size_t Homes) { return Homes / 2 + 1; }
+/// Homes that must agree, out of \p Replicas.
+constexpr std::size_t quorumOf(std::size_t Replicas) {
+  return Replicas / 2 + 1;
+}
 
 struct ReserveRequest {
   RecordName Name_;
--- a/src/idempotency/internal/replicatable.cpp
+++ b/src/idempotency/internal/replicatable.cpp
@@ -27,27 +27,27 @@
 }
 
 /// What a home still has to copy before it is ready.
-struct Requirement {
+struct CatchUp {
   std::vector<MemberId> Sources_;
   ViewNumber Since_;
   std::set<MemberId> Copied_;
-  std::set<MemberId> Never_;
+  std::set<MemberId> Unavailable_;
 };
 
 struct BucketState {
-  std::vector<MemberId> Homes_;
-  bool Home_ = false;
+  std::vector<MemberId> Replicas_;
+  bool IsReplica_ = false;
   bool Ready_ = false;
   /// Last view at which this entry was a ready home.
-  ViewNumber ReadyThrough_;
-  Requirement Needs_;
+  ViewNumber LastReadyView_;
+  CatchUp CatchUp_;
   /// Keys minted before this may have records that are lost.
   TimePoint RecordsLostBefore_{};
   std::unordered_map<RecordName, Record> Records_;
 };
 
 /// A final state says more than a reservation.
-void merge(Record &Into, const Record &From) {
+void mergeRecord(Record &Into, const Record &From) {
   if (Into.State_ == RecordState::Reserved)
     Into = From;
 }
@@ -67,29 +67,30 @@
   std::vector<BucketState> Buckets_;
 
   /// Applies the change from homes \p Before to homes \p After at view \p At.
-  void step(BucketState &Item, const std::vector<MemberId> &Before,
-            const std::vector<MemberId> &After, ViewNumber At) {
-    const bool WasReady = Item.Home_ && Item.Ready_;
-    const bool WasHome = contains(Before, Self_);
-    Item.Homes_ = After;
-    Item.Home_ = contains(After, Self_);
+  void applyReplicaChange(BucketState &Item,
+                          const std::vector<MemberId> &Before,
+                          const std::vector<MemberId> &After, ViewNumber At) {
+    const bool WasReady = Item.IsReplica_ && Item.Ready_;
+    const bool WasReplica = contains(Before, Self_);
+    Item.Replicas_ = After;
+    Item.IsReplica_ = contains(After, Self_);
     // With fewer homes a smaller majority decides, which may consist of the
     // one home that lacks a key. So every home copies again.
     const bool Fewer = After.size() < Before.size();
-    if (!Item.Home_) {
+    if (!Item.IsReplica_) {
       Item.Ready_ = false;
-      Item.Needs_ = {};
-    } else if (!WasHome || Fewer) {
+      Item.CatchUp_ = {};
+    } else if (!WasReplica || Fewer) {
       Item.Ready_ = false;
-      Item.Needs_ = {Before, At, {}, {}};
+      Item.CatchUp_ = {Before, At, {}, {}};
       if (WasReady)
-        Item.Needs_.Copied_.insert(Self_);
+        Item.CatchUp_.Copied_.insert(Self_);
     }
   }
 
   /// Walks through all views between the present one and \p Next, since a home
   /// stays ready only if it was one at each of them.
-  void walkTo(const View &Next) {
+  void applyViewsThrough(const View &Next) {
     std::vector<std::pair<ViewNumber, Ownership>> Steps;
     const bool Known = View_.Number_.value() > 0;
     for (const membership::PastView &Past : Next.Past_)
@@ -100,10 +101,11 @@
       BucketState &Item = Buckets_[B];
       std::size_t First = 0;
       if (!Known)
-        First = startAt(Item, replicasUnder(Steps[0].second, B), Next);
+        First = initializeBucket(Item, replicasUnder(Steps[0].second, B), Next);
       for (std::size_t I = First; I < Steps.size(); ++I) {
-        const std::vector<MemberId> Before = Item.Homes_;
-        step(Item, Before, replicasUnder(Steps[I].second, B), Steps[I].first);
+        const std::vector<MemberId> Before = Item.Replicas_;
+        applyReplicaChange(Item, Before, replicasUnder(Steps[I].second, B),
+                           Steps[I].first);
       }
     }
   }
@@ -111,31 +113,33 @@
   /// First view of this process. The oldest view that it is shown is settled:
   /// its homes are ready, this entry among them only if it has just made the
   /// first view of all. Returns the index of the next step.
-  std::size_t startAt(BucketState &Item, std::vector<MemberId> Homes,
-                      const View &Next) {
-    Item.Homes_ = std::move(Homes);
-    Item.Home_ = contains(Item.Homes_, Self_);
-    Item.Ready_ = Item.Home_ && Next.Past_.empty();
+  std::size_t initializeBucket(BucketState &Item,
+                               std::vector<MemberId> Replicas,
+                               const View &Next) {
+    Item.Replicas_ = std::move(Replicas);
+    Item.IsReplica_ = contains(Item.Replicas_, Self_);
+    Item.Ready_ = Item.IsReplica_ && Next.Past_.empty();
     return 1;
   }
 
   /// Sources that may still give a copy.
-  std::size_t possible(const BucketState &Item) const {
-    return std::count_if(Item.Needs_.Sources_.begin(),
-                         Item.Needs_.Sources_.end(), [&](const MemberId &Id) {
-                           return Item.Needs_.Copied_.contains(Id) ||
+  std::size_t availableSources(const BucketState &Item) const {
+    return std::count_if(Item.CatchUp_.Sources_.begin(),
+                         Item.CatchUp_.Sources_.end(), [&](const MemberId &Id) {
+                           return Item.CatchUp_.Copied_.contains(Id) ||
                                   (Id != Self_ && View_.find(Id) &&
-                                   !Item.Needs_.Never_.contains(Id));
+                                   !Item.CatchUp_.Unavailable_.contains(Id));
                          });
   }
 
   void refreshReadiness(BucketState &Item, TimePoint Now) {
-    if (Item.Home_ && !Item.Ready_) {
-      const std::size_t Need = quorumOf(Item.Needs_.Sources_.size());
-      const std::size_t Copied = Item.Needs_.Copied_.size();
-      if (Copied >= Need && !Item.Needs_.Sources_.empty())
+    if (Item.IsReplica_ && !Item.Ready_) {
+      const std::size_t Need = quorumOf(Item.CatchUp_.Sources_.size());
+      const std::size_t Copied = Item.CatchUp_.Copied_.size();
+      if (Copied >= Need && !Item.CatchUp_.Sources_.empty())
         Item.Ready_ = true;
-      else if (possible(Item) < Need && Copied == possible(Item)) {
+      else if (availableSources(Item) < Need &&
+               Copied == availableSources(Item)) {
         // A majority of the former homes is lost for good, and with it maybe
         // the only records of some keys. Refusing those for ever would stop
         // all work; answering Fresh would run them twice.
@@ -143,10 +147,10 @@
         Item.RecordsLostBefore_ = Now + ClockSkewMargin;
       }
     }
-    if (Item.Home_ && Item.Ready_)
-      Item.ReadyThrough_ = View_.Number_;
+    if (Item.IsReplica_ && Item.Ready_)
+      Item.LastReadyView_ = View_.Number_;
     // Nobody asks a former home once the view is settled.
-    if (!Item.Home_ && View_.settled())
+    if (!Item.IsReplica_ && View_.settled())
       Item.Records_.clear();
   }
 };
@@ -161,7 +165,7 @@
   if (Next.Number_ < S.View_.Number_ || Next == S.View_)
     return;
   if (Next.Number_ > S.View_.Number_)
-    S.walkTo(Next);
+    S.applyViewsThrough(Next);
   S.View_ = Next;
   for (BucketState &Item : S.Buckets_)
     S.refreshReadiness(Item, Now);
@@ -184,7 +188,7 @@
     }
     return Reply;
   }
-  if (!Item.Home_ || !Item.Ready_) {
+  if (!Item.IsReplica_ || !Item.Ready_) {
     Reply.Result_ = ReserveResult::NotReady;
     return Reply;
   }
@@ -192,13 +196,13 @@
     Reply.Result_ = ReserveResult::RecordsLost;
     return Reply;
   }
-  Record Made;
-  Made.Attempt_ = Request.Attempt_;
-  Made.LeaseUntil_ = Request.LeaseUntil_;
-  Made.ForgetAfter_ =
+  Record Created;
+  Created.Attempt_ = Request.Attempt_;
+  Created.LeaseUntil_ = Request.LeaseUntil_;
+  Created.ForgetAfter_ =
       std::max(Request.MintedAt_ + KeyWindow, Now) + 3 * ClockSkewMargin;
-  Made.Fingerprint_ = Request.Fingerprint_;
-  Item.Records_.emplace(Request.Name_, std::move(Made));
+  Created.Fingerprint_ = Request.Fingerprint_;
+  Item.Records_.emplace(Request.Name_, std::move(Created));
   return Reply;
 }
 
@@ -206,7 +210,7 @@
   BucketState &Item = State_->Buckets_[bucketOf(Name).value()];
   const auto [At, Added] = Item.Records_.try_emplace(Name, Final);
   if (!Added && At->second.Attempt_ == Final.Attempt_)
-    merge(At->second, Final);
+    mergeRecord(At->second, Final);
 }
 
 void ReplicaTable::abandon(const RecordName &Name, const AttemptId &Attempt) {
@@ -222,12 +226,12 @@
   std::vector<CopyRequest> Result;
   for (std::uint32_t B = 0; B < BucketCount; ++B) {
     const BucketState &Item = S.Buckets_[B];
-    if (!Item.Home_ || Item.Ready_)
+    if (!Item.IsReplica_ || Item.Ready_)
       continue;
-    for (const MemberId &Source : Item.Needs_.Sources_)
+    for (const MemberId &Source : Item.CatchUp_.Sources_)
       if (Source != S.Self_ && S.View_.find(Source) &&
-          !Item.Needs_.Copied_.contains(Source))
-        Result.push_back({S.Self_, Source, Bucket(B), Item.Needs_.Since_});
+          !Item.CatchUp_.Copied_.contains(Source))
+        Result.push_back({S.Self_, Source, Bucket(B), Item.CatchUp_.Since_});
   }
   return Result;
 }
@@ -243,8 +247,9 @@
   // old one, and the copy would lack them.
   if (S.View_.Number_ < Request.Since_)
     return Reply;
-  if (Item.ReadyThrough_.next() < Request.Since_) {
-    Reply.Result_ = Item.Home_ ? CopyResult::NotReady : CopyResult::Unavailable;
+  if (Item.LastReadyView_.next() < Request.Since_) {
+    Reply.Result_ =
+        Item.IsReplica_ ? CopyResult::NotReady : CopyResult::Unavailable;
     return Reply;
   }
   Reply.Result_ = CopyResult::Copied;
@@ -257,20 +262,20 @@
 void ReplicaTable::applyCopyReply(const CopyReply &Reply, TimePoint Now) {
   State &S = *State_;
   BucketState &Item = S.Buckets_[Reply.Bucket_.value() % BucketCount];
-  if (!Item.Home_ || Item.Ready_ || Reply.Since_ != Item.Needs_.Since_ ||
-      !contains(Item.Needs_.Sources_, Reply.Source_))
+  if (!Item.IsReplica_ || Item.Ready_ || Reply.Since_ != Item.CatchUp_.Since_ ||
+      !contains(Item.CatchUp_.Sources_, Reply.Source_))
     return;
   if (Reply.Result_ == CopyResult::Unavailable)
-    Item.Needs_.Never_.insert(Reply.Source_);
+    Item.CatchUp_.Unavailable_.insert(Reply.Source_);
   if (Reply.Result_ == CopyResult::Copied) {
-    Item.Needs_.Copied_.insert(Reply.Source_);
+    Item.CatchUp_.Copied_.insert(Reply.Source_);
     Item.RecordsLostBefore_ =
         std::max(Item.RecordsLostBefore_, Reply.RecordsLostBefore_);
     for (const NamedRecord &Row : Reply.Records_) {
       const auto [At, Added] =
           Item.Records_.try_emplace(Row.Name_, Row.Record_);
       if (!Added)
-        merge(At->second, Row.Record_);
+        mergeRecord(At->second, Row.Record_);
     }
   }
   S.refreshReadiness(Item, Now);
@@ -279,7 +284,7 @@
 std::uint64_t ReplicaTable::bucketsToCopy() const {
   return std::count_if(
       State_->Buckets_.begin(), State_->Buckets_.end(),
-      [](const BucketState &Item) { return Item.Home_ && !Item.Ready_; });
+      [](const BucketState &Item) { return Item.IsReplica_ && !Item.Ready_; });
 }
 
 void ReplicaTable::tick(TimePoint Now) {
@@ -301,7 +306,7 @@
 std::size_t ReplicaTable::bucketsWithLostRecords(TimePoint Now) const {
   return std::count_if(State_->Buckets_.begin(), State_->Buckets_.end(),
                        [&](const BucketState &Item) {
-                         return Item.Home_ &&
+                         return Item.IsReplica_ &&
                                 Item.RecordsLostBefore_ + KeyWindow > Now;
                        });
 }
--- a/src/idempotency/internal/reservationtally.cpp
+++ b/src/idempotency/internal/reservationtally.cpp
@@ -5,12 +5,13 @@
 namespace laburnumspread::idempotency {
 
 ReservationTally::ReservationTally(AttemptId Attempt,
-                                   std::vector<MemberId> Homes)
-    : Attempt_(std::move(Attempt)), Homes_(std::move(Homes)) {}
+                                   std::vector<MemberId> Replicas)
+    : Attempt_(std::move(Attempt)), Replicas_(std::move(Replicas)) {}
 
 void ReservationTally::add(const ReserveReply &Reply) {
   if (Reply.Attempt_ != Attempt_ ||
-      std::find(Homes_.begin(), Homes_.end(), Reply.From_) == Homes_.end() ||
+      std::find(Replicas_.begin(), Replicas_.end(), Reply.From_) ==
+          Replicas_.end() ||
       !Replies_.try_emplace(Reply.From_, Reply.Result_).second)
     return;
   if (Reply.Result_ != ReserveResult::Duplicate)
@@ -25,16 +26,16 @@
                        [&](const auto &Item) { return Item.second == Result; });
 }
 
-ReservationOutcome ReservationTally::outcome(bool AllHeard) const {
-  if (Homes_.empty())
+ReservationOutcome ReservationTally::outcome(bool NoMoreReplies) const {
+  if (Replicas_.empty())
     return ReservationOutcome::Retry;
-  const std::size_t Quorum = quorumOf(Homes_.size());
+  const std::size_t Quorum = quorumOf(Replicas_.size());
   if (countOf(ReserveResult::Reserved) >= Quorum)
     return ReservationOutcome::Granted;
   const bool Found = countOf(ReserveResult::Duplicate) > 0;
   if (Found && Found_.State_ != RecordState::Reserved)
     return ReservationOutcome::Duplicate;
-  if (!AllHeard && Replies_.size() < Homes_.size())
+  if (!NoMoreReplies && Replies_.size() < Replicas_.size())
     return ReservationOutcome::Pending;
   if (Found)
     return ReservationOutcome::Duplicate;
--- a/src/idempotency/reservationtally.h
+++ b/src/idempotency/reservationtally.h
@@ -22,22 +22,22 @@
 /// Counts the replies of one attempt's homes.
 class ReservationTally {
 public:
-  ReservationTally(AttemptId Attempt, std::vector<MemberId> Homes);
+  ReservationTally(AttemptId Attempt, std::vector<MemberId> Replicas);
 
   /// Counts a reply. Replies of other attempts or from others than the homes,
   /// and second replies of one home, count for nothing.
   void add(const ReserveReply &Reply);
 
-  /// The verdict so far, or, once \p AllHeard (no more replies will be waited
-  /// for), the final one, which is never Pending.
-  ReservationOutcome outcome(bool AllHeard) const;
+  /// The verdict so far, or, once \p NoMoreReplies (no more replies will be
+  /// waited for), the final one, which is never Pending.
+  ReservationOutcome outcome(bool NoMoreReplies) const;
   const Record &found() const { return Found_; }
 
 private:
   std::size_t countOf(ReserveResult Result) const;
 
   AttemptId Attempt_;
-  std::vector<MemberId> Homes_;
+  std::vector<MemberId> Replicas_;
   std::map<MemberId, ReserveResult> Replies_;
   Record Found_;
 };
--- a/src/idempotency/tests/replicamodeltest.cpp
+++ b/src/idempotency/tests/replicamodeltest.cpp
@@ -35,10 +35,10 @@
 struct Entry {
   explicit Entry(Member Self)
       : Self_(std::move(Self)),
-        Homes_(std::make_unique<ReplicaTable>(Self_.Id_)) {}
+        Replicas_(std::make_unique<ReplicaTable>(Self_.Id_)) {}
   Member Self_;
   View View_;
-  std::unique_ptr<ReplicaTable> Homes_;
+  std::unique_ptr<ReplicaTable> Replicas_;
   std::vector<Attempt> Attempts_;
   bool Paused_ = false;
 };
@@ -105,7 +105,7 @@
 
   void adopt(Entry &One) {
     One.View_ = View_;
-    One.Homes_->adoptView(View_, Now_);
+    One.Replicas_->adoptView(View_, Now_);
   }
 
   void join() {
@@ -140,8 +140,8 @@
   void settle() {
     std::vector<MemberProgress> Progress;
     for (const auto &Item : Entries_)
-      Progress.push_back({Item->Self_.Id_, Item->Homes_->view(), 0,
-                          Item->Homes_->bucketsToCopy()});
+      Progress.push_back({Item->Self_.Id_, Item->Replicas_->view(), 0,
+                          Item->Replicas_->bucketsToCopy()});
     if (canSettle(View_, Progress, Now_))
       View_ = asSettled(View_);
   }
@@ -173,19 +173,19 @@
     Request.Attempt_ = {One.Self_.Id_, ++NextAttempt_};
     Request.View_ = One.View_.Number_;
     Request.LeaseUntil_ = Now_ + 5s;
-    const auto Homes = replicasOf(One.View_, bucketOf(Request.Name_));
+    const auto Replicas = replicasOf(One.View_, bucketOf(Request.Name_));
     One.Attempts_.push_back({Request.Name_, Request.Attempt_,
-                             ReservationTally(Request.Attempt_, Homes)});
-    for (const MemberId &Home : Homes) {
+                             ReservationTally(Request.Attempt_, Replicas)});
+    for (const MemberId &Replica : Replicas) {
       Message Out;
-      Out.To_ = Home;
+      Out.To_ = Replica;
       Out.Reserve_ = Request;
       Network_.push_back(std::move(Out));
     }
   }
 
   void askForCopies(Entry &One) {
-    for (const CopyRequest &Wanted : One.Homes_->missingCopies()) {
+    for (const CopyRequest &Wanted : One.Replicas_->missingCopies()) {
       if (below(4) == 0)
         continue;
       Message Out;
@@ -216,9 +216,10 @@
         DispatchedTwice_ |= !Dispatched_.insert(Item.Name_).second;
         continue;
       }
-      for (const MemberId &Home : replicasOf(One.View_, bucketOf(Item.Name_))) {
+      for (const MemberId &Replica :
+           replicasOf(One.View_, bucketOf(Item.Name_))) {
         Message Out;
-        Out.To_ = Home;
+        Out.To_ = Replica;
         Out.AbandonName_ = Item.Name_;
         Out.Abandon_ = Item.Id_;
         Network_.push_back(std::move(Out));
@@ -248,7 +249,7 @@
     if (Item.Reserve_) {
       Message Out;
       Out.To_ = Item.Reserve_->Attempt_.Entry_;
-      Out.Reply_ = To.Homes_->reserve(*Item.Reserve_, Now_);
+      Out.Reply_ = To.Replicas_->reserve(*Item.Reserve_, Now_);
       Network_.push_back(std::move(Out));
     }
     if (Item.Reply_)
@@ -257,13 +258,13 @@
     if (Item.Copy_) {
       Message Out;
       Out.To_ = Item.Copy_->From_;
-      Out.Copied_ = To.Homes_->handleCopyRequest(*Item.Copy_);
+      Out.Copied_ = To.Replicas_->handleCopyRequest(*Item.Copy_);
       Copies_.push_back(std::move(Out));
     }
     if (Item.Copied_)
-      To.Homes_->applyCopyReply(*Item.Copied_, Now_);
+      To.Replicas_->applyCopyReply(*Item.Copied_, Now_);
     if (Item.AbandonName_)
-      To.Homes_->abandon(*Item.AbandonName_, Item.Abandon_);
+      To.Replicas_->abandon(*Item.AbandonName_, Item.Abandon_);
   }
 
   const TimePoint Born_{1000h};
--- a/src/limits/internal/subject.h
+++ b/src/limits/internal/subjectstate.h
@@ -43,7 +43,7 @@
   TimePoint IdleSince_{};
 };
 
-struct Subject {
+struct SubjectState {
   SubjectName Name_;
   std::uint64_t Hash_ = 0;
   std::uint32_t Limit_ = 0;
@@ -61,20 +61,22 @@
 };
 
 /// Lowest unit of the block that is within the limit and not in use.
-inline std::optional<Unit> freeUnit(const Subject &Of, const Block &Item) {
-  const std::uint32_t Capacity = capacity(Item.Index_, Of.Limit_);
+inline std::optional<Unit> freeUnit(const SubjectState &Subject,
+                                    const Block &Item) {
+  const std::uint32_t Capacity = capacity(Item.Index_, Subject.Limit_);
   if (!Item.available() || Item.Used_ >= Capacity)
     return std::nullopt;
   for (std::uint32_t K = 0; K < Capacity; ++K) {
     const Unit Candidate(Item.Index_ + K * MaximumBlocks);
-    if (Item.Used_ == 0 || !Of.uses(Candidate))
+    if (Item.Used_ == 0 || !Subject.uses(Candidate))
       return Candidate;
   }
   return std::nullopt;
 }
 
-inline std::uint64_t blockHash(const Subject &Of, std::uint32_t Index) {
-  return framework::ids::rendezvousWeight(Of.Hash_, Index + 1);
+inline std::uint64_t blockHash(const SubjectState &Subject,
+                               std::uint32_t Index) {
+  return framework::ids::rendezvousWeight(Subject.Hash_, Index + 1);
 }
 
 } // namespace laburnumspread::limits
--- a/src/limits/internal/unitledger.cpp
+++ b/src/limits/internal/unitledger.cpp
@@ -1,6 +1,6 @@
 #include "limits/unitledger.h"
 
-#include "limits/internal/subject.h"
+#include "limits/internal/subjectstate.h"
 #include "membership/ownership.h"
 
 #include <algorithm>
@@ -38,7 +38,7 @@
 
   MemberId Self_;
   View View_;
-  std::vector<Subject> Subjects_;
+  std::vector<SubjectState> Subjects_;
   std::unordered_map<SubjectName, std::uint32_t> Index_;
   std::vector<Ownership> Past_;
   Ownership Present_{std::span<const Owner>()};
@@ -48,97 +48,100 @@
   /// Subjects with loans of others. Few at any time, while the subjects are
   /// tens of thousands at the design size and upkeep comes twenty times a
   /// second.
-  std::set<std::uint32_t> Borrowing_;
+  std::set<std::uint32_t> BorrowingSubjects_;
   std::uint64_t NextLoan_ = 1;
   /// Loans that were given back, kept until they are dead: a copy of the grant
   /// that arrives late must not bring one back to life.
   std::map<LoanId, TimePoint> ReturnedLoans_;
   TimePoint Now_{};
 
-  static const Block *findBlock(const Subject &In, std::uint32_t Index) {
+  static const Block *findBlock(const SubjectState &In, std::uint32_t Index) {
     for (const Block &Item : In.Blocks_)
       if (Item.Index_ == Index)
         return &Item;
     return nullptr;
   }
-  static Block *findBlock(Subject &In, std::uint32_t Index) {
+  static Block *findBlock(SubjectState &In, std::uint32_t Index) {
     return const_cast<Block *>(findBlock(std::as_const(In), Index));
   }
 
   /// Whether an earlier owner no longer has any right to the block.
-  bool hasReleased(const MemberId &Earlier, const Subject &Of,
+  bool hasReleased(const MemberId &Earlier, const SubjectState &Subject,
                    std::uint32_t Index) const {
-    for (const membership::DepartedMember &Gone : View_.Departed_)
-      if (Gone.Id_ == Earlier)
-        return Gone.ReusableAfter_ < Now_;
-    const auto Said = ReleaseStatements_.find(Earlier);
-    if (Said == ReleaseStatements_.end())
+    for (const membership::DepartedMember &Departed : View_.DepartedMembers_)
+      if (Departed.Id_ == Earlier)
+        return Departed.ReusableAfter_ < Now_;
+    const auto Statement = ReleaseStatements_.find(Earlier);
+    if (Statement == ReleaseStatements_.end())
       return false;
-    const auto Held = Said->second.lower_bound({Of.Name_, Unit(0)});
-    for (auto It = Held; It != Said->second.end() && It->Subject_ == Of.Name_;
-         ++It)
+    const auto Held = Statement->second.lower_bound({Subject.Name_, Unit(0)});
+    for (auto It = Held;
+         It != Statement->second.end() && It->Subject_ == Subject.Name_; ++It)
       if (It->Unit_.value() % MaximumBlocks == Index)
         return false;
     return true;
   }
 
-  void refreshBlocked(const Subject &Of, Block &Item) const {
-    const std::uint64_t Hash = blockHash(Of, Item.Index_);
+  void refreshBlocked(const SubjectState &Subject, Block &Item) const {
+    const std::uint64_t Hash = blockHash(Subject, Item.Index_);
     Item.Blocked_ =
         Item.Owned_ &&
         std::any_of(Past_.begin(), Past_.end(), [&](const Ownership &Earlier) {
           const MemberId *Owner = Earlier.ownerOf(Hash);
           return Owner && *Owner != Self_ &&
-                 !hasReleased(*Owner, Of, Item.Index_);
+                 !hasReleased(*Owner, Subject, Item.Index_);
         });
   }
 
   /// Brings the blocks of a subject in line with view and limit.
-  void refresh(Subject &Of) {
-    for (Block &Item : Of.Blocks_)
+  void refreshBlocks(SubjectState &Subject) {
+    for (Block &Item : Subject.Blocks_)
       Item.Owned_ = false;
-    for (std::uint32_t Index = 0; Index < Of.blockCount(); ++Index) {
-      const MemberId *Owner = Present_.ownerOf(blockHash(Of, Index));
+    for (std::uint32_t Index = 0; Index < Subject.blockCount(); ++Index) {
+      const MemberId *Owner = Present_.ownerOf(blockHash(Subject, Index));
       if (!Owner || *Owner != Self_)
         continue;
-      Block *Item = findBlock(Of, Index);
+      Block *Item = findBlock(Subject, Index);
       if (!Item) {
-        Of.Blocks_.push_back(
+        Subject.Blocks_.push_back(
             {static_cast<std::uint16_t>(Index), false, false, 0});
-        Item = &Of.Blocks_.back();
+        Item = &Subject.Blocks_.back();
       }
       Item->Owned_ = true;
     }
-    std::erase_if(Of.Blocks_, [](const Block &Item) {
+    std::erase_if(Subject.Blocks_, [](const Block &Item) {
       return !Item.Owned_ && Item.Used_ == 0;
     });
-    Of.Blocks_.shrink_to_fit();
-    for (Block &Item : Of.Blocks_)
-      refreshBlocked(Of, Item);
+    Subject.Blocks_.shrink_to_fit();
+    for (Block &Item : Subject.Blocks_)
+      refreshBlocked(Subject, Item);
   }
 
   void recheckBlocked() {
-    for (Subject &Of : Subjects_)
-      for (Block &Item : Of.Blocks_)
+    for (SubjectState &Subject : Subjects_)
+      for (Block &Item : Subject.Blocks_)
         if (Item.Blocked_)
-          refreshBlocked(Of, Item);
+          refreshBlocked(Subject, Item);
   }
 
   /// Ends the use of a unit, and forgets a block that is another's by now.
-  void endUse(Subject &Of, Unit Which, std::uint64_t LoanSequence) {
-    const auto Ended = std::erase_if(Of.Used_, [&](const UsedUnit &U) {
+  void endUnitUse(SubjectState &Subject, Unit Which,
+                  std::uint64_t LoanSequence) {
+    const auto Ended = std::erase_if(Subject.Used_, [&](const UsedUnit &U) {
       return U.Unit_ == Which && U.Loan_ == LoanSequence;
     });
-    Block *Item = findBlock(Of, Which.value() % MaximumBlocks);
+    Block *Item = findBlock(Subject, Which.value() % MaximumBlocks);
     if (!Item || Ended == 0)
       return;
     --Item->Used_;
     if (!Item->Owned_ && Item->Used_ == 0)
-      Of.Blocks_.erase(Of.Blocks_.begin() + (Item - Of.Blocks_.data()));
+      Subject.Blocks_.erase(Subject.Blocks_.begin() +
+                            (Item - Subject.Blocks_.data()));
   }
 
   /// Finds a free unit of the entry's own and marks it used.
-  std::optional<Unit> takeOwn(Subject &From, std::uint64_t LoanSequence) {
+  std::optional<Unit> takeOwnUnit(SubjectState &From,
+                                  std::uint64_t LoanSequence) {
     const std::size_t Count = From.Blocks_.size();
     for (std::size_t Step = 0; Step < Count; ++Step) {
       const std::size_t At = (From.Cursor_ + Step) % Count;
@@ -153,11 +156,11 @@
     return std::nullopt;
   }
 
-  template <typename Wanted>
-  std::vector<LoanId> takeLoans(Subject &From, Wanted &&Want) {
+  template <typename Predicate>
+  std::vector<LoanId> removeLoans(SubjectState &From, Predicate &&Matches) {
     std::vector<LoanId> Taken;
     std::erase_if(From.Borrowed_, [&](const BorrowedUnit &Item) {
-      if (Item.InUse_ || !Want(Item))
+      if (Item.InUse_ || !Matches(Item))
         return false;
       ReturnedLoans_[Item.Loan_.Id_] = Item.Loan_.Until_;
       Taken.push_back(Item.Loan_.Id_);
@@ -172,13 +175,13 @@
         ++It;
         continue;
       }
-      endUse(Subjects_[It->second.Subject_], It->second.Unit_, It->first);
+      endUnitUse(Subjects_[It->second.Subject_], It->second.Unit_, It->first);
       It = Lent_.erase(It);
     }
   }
 
   void expireBorrowed() {
-    std::erase_if(Borrowing_, [&](std::uint32_t Index) {
+    std::erase_if(BorrowingSubjects_, [&](std::uint32_t Index) {
       auto &Loans = Subjects_[Index].Borrowed_;
       std::erase_if(Loans, [&](const BorrowedUnit &Item) {
         return !Item.InUse_ && Item.Loan_.Until_ <= Now_;
@@ -208,8 +211,8 @@
   S.Past_.clear();
   for (const membership::PastView &Past : Next.Past_)
     S.Past_.emplace_back(Past.Owners_);
-  for (Subject &Of : S.Subjects_)
-    S.refresh(Of);
+  for (SubjectState &Subject : S.Subjects_)
+    S.refreshBlocks(Subject);
 }
 
 SubjectIndex UnitLedger::setLimit(const SubjectName &Name,
@@ -222,10 +225,10 @@
     S.Subjects_.back().Name_ = Name;
     S.Subjects_.back().Hash_ = stableHash(Name.str());
   }
-  Subject &Row = S.Subjects_[At->second];
+  SubjectState &Row = S.Subjects_[At->second];
   if (Row.Limit_ != Limit) {
     Row.Limit_ = Limit;
-    S.refresh(Row);
+    S.refreshBlocks(Row);
   }
   return SubjectIndex(At->second);
 }
@@ -239,8 +242,8 @@
 
 std::optional<Permit> UnitLedger::acquire(SubjectIndex Index, TimePoint Until,
                                           TimePoint Now) {
-  Subject &From = State_->Subjects_[Index.value()];
-  if (const std::optional<Unit> Own = State_->takeOwn(From, 0))
+  SubjectState &From = State_->Subjects_[Index.value()];
+  if (const std::optional<Unit> Own = State_->takeOwnUnit(From, 0))
     return Permit{Index, *Own, Until, false, {}};
   for (BorrowedUnit &Item : From.Borrowed_) {
     if (!usable(Item, From.Limit_, Until, Now))
@@ -252,9 +255,9 @@
 }
 
 void UnitLedger::release(const Permit &Held) {
-  Subject &From = State_->Subjects_[Held.Subject_.value()];
+  SubjectState &From = State_->Subjects_[Held.Subject_.value()];
   if (!Held.Borrowed_) {
-    State_->endUse(From, Held.Unit_, 0);
+    State_->endUnitUse(From, Held.Unit_, 0);
     return;
   }
   for (BorrowedUnit &Item : From.Borrowed_) {
@@ -267,7 +270,7 @@
 
 bool UnitLedger::hasFree(SubjectIndex Index, TimePoint Until,
                          TimePoint Now) const {
-  const Subject &From = State_->Subjects_[Index.value()];
+  const SubjectState &From = State_->Subjects_[Index.value()];
   return std::any_of(From.Blocks_.begin(), From.Blocks_.end(),
                      [&](const Block &Item) {
                        return freeUnit(From, Item).has_value();
@@ -279,7 +282,7 @@
 }
 
 std::uint32_t UnitLedger::freeOwnedUnits(SubjectIndex Index) const {
-  const Subject &From = State_->Subjects_[Index.value()];
+  const SubjectState &From = State_->Subjects_[Index.value()];
   std::uint32_t Free = 0;
   for (const Block &Item : From.Blocks_) {
     const std::uint32_t Capacity = capacity(Item.Index_, From.Limit_);
@@ -300,10 +303,10 @@
 std::vector<Loan> UnitLedger::lend(SubjectIndex Index, const MemberId &,
                                    std::uint32_t Count, TimePoint Until) {
   State &S = *State_;
-  Subject &From = S.Subjects_[Index.value()];
+  SubjectState &From = S.Subjects_[Index.value()];
   std::vector<Loan> Loans;
   while (Loans.size() < Count) {
-    const std::optional<Unit> Taken = S.takeOwn(From, S.NextLoan_);
+    const std::optional<Unit> Taken = S.takeOwnUnit(From, S.NextLoan_);
     if (!Taken)
       break;
     S.Lent_[S.NextLoan_] = {Index.value(), *Taken, Until};
@@ -320,7 +323,8 @@
   const auto At = S.Lent_.find(Id.Sequence_);
   if (At == S.Lent_.end())
     return;
-  S.endUse(S.Subjects_[At->second.Subject_], At->second.Unit_, Id.Sequence_);
+  S.endUnitUse(S.Subjects_[At->second.Subject_], At->second.Unit_,
+               Id.Sequence_);
   S.Lent_.erase(At);
 }
 
@@ -330,21 +334,21 @@
   if (Index == S.Index_.end() || Granted.Until_ <= Now ||
       S.ReturnedLoans_.contains(Granted.Id_))
     return;
-  Subject &Into = S.Subjects_[Index->second];
+  SubjectState &Into = S.Subjects_[Index->second];
   const bool Known = std::any_of(
       Into.Borrowed_.begin(), Into.Borrowed_.end(),
       [&](const BorrowedUnit &Item) { return Item.Loan_.Id_ == Granted.Id_; });
   if (Known)
     return;
   Into.Borrowed_.push_back({Granted, false, Now});
-  S.Borrowing_.insert(Index->second);
+  S.BorrowingSubjects_.insert(Index->second);
 }
 
 std::vector<LoanId> UnitLedger::removeIdleLoans(TimePoint IdleSince) {
   std::vector<LoanId> All;
-  for (std::uint32_t Index : State_->Borrowing_) {
-    Subject &From = State_->Subjects_[Index];
-    const auto Taken = State_->takeLoans(From, [&](const BorrowedUnit &Item) {
+  for (std::uint32_t Index : State_->BorrowingSubjects_) {
+    SubjectState &From = State_->Subjects_[Index];
+    const auto Taken = State_->removeLoans(From, [&](const BorrowedUnit &Item) {
       return Item.IdleSince_ <= IdleSince;
     });
     All.insert(All.end(), Taken.begin(), Taken.end());
@@ -353,29 +357,30 @@
 }
 
 std::vector<LoanId> UnitLedger::removeAllIdleLoans(SubjectIndex Index) {
-  return State_->takeLoans(State_->Subjects_[Index.value()],
-                           [](const BorrowedUnit &) { return true; });
+  return State_->removeLoans(State_->Subjects_[Index.value()],
+                             [](const BorrowedUnit &) { return true; });
 }
 
 ReleaseStatement UnitLedger::releaseStatement() const {
   ReleaseStatement Result{State_->Self_, State_->View_.Number_, {}};
-  for (const Subject &Of : State_->Subjects_)
-    for (const UsedUnit &Used : Of.Used_)
-      if (const Block *Item = State_->findBlock(Of, Used.block());
+  for (const SubjectState &Subject : State_->Subjects_)
+    for (const UsedUnit &Used : Subject.Used_)
+      if (const Block *Item = State_->findBlock(Subject, Used.block());
           Item && !Item->Owned_)
-        Result.StillHeld_.push_back({Of.Name_, Used.Unit_});
+        Result.StillHeld_.push_back({Subject.Name_, Used.Unit_});
   return Result;
 }
 
-void UnitLedger::applyReleaseStatement(const ReleaseStatement &Heard) {
+void UnitLedger::applyReleaseStatement(const ReleaseStatement &Statement) {
   State &S = *State_;
-  if (Heard.View_ != S.View_.Number_ || Heard.From_ == S.Self_)
+  if (Statement.View_ != S.View_.Number_ || Statement.From_ == S.Self_)
     return;
-  std::set<HeldUnit> Held(Heard.StillHeld_.begin(), Heard.StillHeld_.end());
-  const auto Before = S.ReleaseStatements_.find(Heard.From_);
+  std::set<HeldUnit> Held(Statement.StillHeld_.begin(),
+                          Statement.StillHeld_.end());
+  const auto Before = S.ReleaseStatements_.find(Statement.From_);
   if (Before != S.ReleaseStatements_.end() && Before->second == Held)
     return;
-  S.ReleaseStatements_[Heard.From_] = std::move(Held);
+  S.ReleaseStatements_[Statement.From_] = std::move(Held);
   S.recheckBlocked();
 }
 
@@ -384,15 +389,15 @@
   S.Now_ = std::max(S.Now_, Now);
   S.expireLent();
   S.expireBorrowed();
-  if (!S.View_.Departed_.empty())
+  if (!S.View_.DepartedMembers_.empty())
     S.recheckBlocked();
 }
 
 std::vector<OwnedUnits> UnitLedger::ownersOf(SubjectIndex Index) const {
-  const Subject &Of = State_->Subjects_[Index.value()];
+  const SubjectState &Subject = State_->Subjects_[Index.value()];
   std::vector<OwnedUnits> Result;
-  for (std::uint32_t Block = 0; Block < Of.blockCount(); ++Block) {
-    const MemberId *Owner = State_->Present_.ownerOf(blockHash(Of, Block));
+  for (std::uint32_t Block = 0; Block < Subject.blockCount(); ++Block) {
+    const MemberId *Owner = State_->Present_.ownerOf(blockHash(Subject, Block));
     if (!Owner)
       continue;
     auto At =
@@ -401,7 +406,7 @@
         });
     if (At == Result.end())
       At = Result.insert(Result.end(), {*Owner, 0});
-    At->Units_ += capacity(Block, Of.Limit_);
+    At->Units_ += capacity(Block, Subject.Limit_);
   }
   return Result;
 }
@@ -409,19 +414,19 @@
 ViewNumber UnitLedger::view() const { return State_->View_.Number_; }
 
 SubjectCounts UnitLedger::counts(SubjectIndex Index) const {
-  const Subject &Of = State_->Subjects_[Index.value()];
+  const SubjectState &Subject = State_->Subjects_[Index.value()];
   SubjectCounts Result;
-  Result.Limit_ = Of.Limit_;
-  for (const Block &Item : Of.Blocks_) {
-    const std::uint32_t Capacity = capacity(Item.Index_, Of.Limit_);
+  Result.Limit_ = Subject.Limit_;
+  for (const Block &Item : Subject.Blocks_) {
+    const std::uint32_t Capacity = capacity(Item.Index_, Subject.Limit_);
     if (Item.Owned_)
       Result.Owned_ += Capacity;
     if (Item.available())
       Result.Available_ += Capacity;
   }
-  for (const UsedUnit &Used : Of.Used_)
+  for (const UsedUnit &Used : Subject.Used_)
     ++(Used.Loan_ == 0 ? Result.Running_ : Result.Lent_);
-  for (const BorrowedUnit &Item : Of.Borrowed_)
+  for (const BorrowedUnit &Item : Subject.Borrowed_)
     ++(Item.InUse_ ? Result.Running_ : Result.Borrowed_);
   return Result;
 }
@@ -441,13 +446,13 @@
 
 std::vector<HeldUnit> UnitLedger::unitsInUse() const {
   std::vector<HeldUnit> Result;
-  for (const Subject &Of : State_->Subjects_) {
-    for (const UsedUnit &Used : Of.Used_)
+  for (const SubjectState &Subject : State_->Subjects_) {
+    for (const UsedUnit &Used : Subject.Used_)
       if (Used.Loan_ == 0)
-        Result.push_back({Of.Name_, Used.Unit_});
-    for (const BorrowedUnit &Item : Of.Borrowed_)
+        Result.push_back({Subject.Name_, Used.Unit_});
+    for (const BorrowedUnit &Item : Subject.Borrowed_)
       if (Item.InUse_)
-        Result.push_back({Of.Name_, Item.Loan_.Unit_});
+        Result.push_back({Subject.Name_, Item.Loan_.Unit_});
   }
   return Result;
 }
--- a/src/limits/unitledger.h
+++ b/src/limits/unitledger.h
@@ -64,7 +64,7 @@
   ReleaseStatement releaseStatement() const;
   /// Another member's statement. Only one given at this entry's own view
   /// counts: one of an earlier view knows nothing of later moves.
-  void applyReleaseStatement(const ReleaseStatement &Heard);
+  void applyReleaseStatement(const ReleaseStatement &Statement);
 
   /// Ends loans and waits that have run out.
   void tick(TimePoint Now);
--- a/src/maintenance/internal/waveplanner.cpp
+++ b/src/maintenance/internal/waveplanner.cpp
@@ -16,15 +16,15 @@
 
 namespace {
 
-bool covers(const Wave &Of, const Vm &Machine) {
-  const auto &Pools = Of.Spec_.Pools_;
+bool covers(const Wave &W, const Vm &Machine) {
+  const auto &Pools = W.Spec_.Pools_;
   return Pools.empty() || std::find(Pools.begin(), Pools.end(),
                                     Machine.Spec_.Pool_) != Pools.end();
 }
 
-bool isOver(const Wave &Of) {
-  return Of.Status_.Phase_ == WavePhase::Complete ||
-         Of.Status_.Phase_ == WavePhase::Cancelled;
+bool isOver(const Wave &W) {
+  return W.Status_.Phase_ == WavePhase::Complete ||
+         W.Status_.Phase_ == WavePhase::Cancelled;
 }
 
 bool isDone(const VmStatus &Status, const fleet::WaveName &Name) {
@@ -33,7 +33,7 @@
 }
 
 /// Notes that a wave has maintained the VM, and forgets waves that are over.
-void noteDone(const config::FleetTables &Tables, const fleet::WaveName &Name,
+void markDone(const config::FleetTables &Tables, const fleet::WaveName &Name,
               VmStatus &Status) {
   std::erase_if(Status.DoneWaves_, [&](const fleet::WaveName &Other) {
     const auto *Known = Tables.find<Wave>(Other.str());
@@ -51,71 +51,71 @@
 
 /// One wave's VMs, by how far they are.
 struct WaveProgress {
-  std::vector<const Vm *> ToDo_;
+  std::vector<const Vm *> NotStarted_;
   std::uint32_t InProgress_ = 0;
   std::uint32_t Done_ = 0;
   std::uint32_t Failed_ = 0;
   std::uint32_t Total_ = 0;
 };
 
-WaveProgress progressOf(const config::FleetTables &Tables, const Wave &Of) {
-  const fleet::WaveName Name(Of.Metadata_.Name_);
+WaveProgress progressOf(const config::FleetTables &Tables, const Wave &W) {
+  const fleet::WaveName Name(W.Metadata_.Name_);
   WaveProgress Result;
   for (const auto &[VmText, Machine] : Tables.Vms_) {
     const VmStatus &Status = Machine.Status_;
-    const bool Mine = Status.Wave_ == Name;
-    if (!Mine && !covers(Of, Machine))
+    const bool Assigned = Status.Wave_ == Name;
+    if (!Assigned && !covers(W, Machine))
       continue;
     ++Result.Total_;
     if (isDone(Status, Name))
       ++Result.Done_;
-    else if (Mine && Status.Phase_ == VmPhase::Failed)
+    else if (Assigned && Status.Phase_ == VmPhase::Failed)
       ++Result.Failed_;
-    else if (Mine)
+    else if (Assigned)
       ++Result.InProgress_;
     else if (Status.Wave_.empty() && Status.Phase_ == VmPhase::Active)
-      Result.ToDo_.push_back(&Machine);
+      Result.NotStarted_.push_back(&Machine);
   }
   return Result;
 }
 
 /// Batches grow by doubling, each after the one before has ended. Returns how
 /// many VMs may be started now and the size of the present batch.
-struct BatchRoom {
+struct BatchCapacity {
   std::uint32_t Size_ = 0;
-  std::uint32_t Room_ = 0;
+  std::uint32_t Available_ = 0;
 };
 
-BatchRoom batchRoom(const Wave &Of, const WaveProgress &Progress) {
+BatchCapacity batchCapacity(const Wave &W, const WaveProgress &Progress) {
   const std::uint32_t Ended = Progress.Done_ + Progress.Failed_;
   std::uint32_t Before = 0;
-  std::uint32_t Size = Of.Spec_.FirstBatch_;
+  std::uint32_t Size = W.Spec_.FirstBatch_;
   while (Before + Size <= Ended) {
     Before += Size;
-    Size = std::min(2 * Size, Of.Spec_.MaximumBatch_);
+    Size = std::min(2 * Size, W.Spec_.MaximumBatch_);
   }
   const std::uint32_t Started = Ended - Before + Progress.InProgress_;
   return {Size, Size > Started ? Size - Started : 0};
 }
 
-bool mustHalt(const Wave &Of, const WaveProgress &Progress) {
-  if (Progress.Failed_ <= Of.Spec_.AcceptedFailures_)
+bool mustHalt(const Wave &W, const WaveProgress &Progress) {
+  if (Progress.Failed_ <= W.Spec_.AcceptedFailures_)
     return false;
   // The first batch is there to show whether the change is sound at all: one
   // failure before that many VMs have come back well is enough.
-  const bool Shown = Progress.Done_ >= Of.Spec_.FirstBatch_;
-  const std::uint32_t Bound = Shown ? Of.Spec_.HaltAfterFailures_ : 1;
-  return Progress.Failed_ - Of.Spec_.AcceptedFailures_ >= Bound;
+  const bool CanaryPassed = Progress.Done_ >= W.Spec_.FirstBatch_;
+  const std::uint32_t Bound = CanaryPassed ? W.Spec_.HaltAfterFailures_ : 1;
+  return Progress.Failed_ - W.Spec_.AcceptedFailures_ >= Bound;
 }
 
 /// Brings one VM that a wave has begun with forward.
 void advanceVm(const config::FleetTables &Tables, const Vm &Machine,
-               bool Cancelled, const Observations &Seen, Plan &Into) {
+               bool Cancelled, const Observations &Observed, Plan &Output) {
   const std::string &Name = Machine.Metadata_.Name_;
   const VmStatus &Status = Machine.Status_;
-  const auto Row = Seen.List_.find(Name);
+  const auto Row = Observed.List_.find(Name);
   auto Add = [&](ActionKind Kind, VmStatus To, std::string Reason) {
-    Into.Vms_.push_back(
+    Output.Vms_.push_back(
         {Kind, Name, Status.Phase_, std::move(To), std::move(Reason)});
   };
   switch (Status.Phase_) {
@@ -124,41 +124,43 @@
     return;
   case VmPhase::Leaving: {
     if (Cancelled) {
-      VmStatus Back = inPhase(Machine, VmPhase::Active, Seen.Now_);
+      VmStatus Back = inPhase(Machine, VmPhase::Active, Observed.Now_);
       Back.Wave_ = {};
       return Add(ActionKind::CancelLeave, Back, "the wave was cancelled");
     }
-    if (Row == Seen.List_.end() || !Seen.Drained_(Name))
+    if (Row == Observed.List_.end() || !Observed.Drained_(Name))
       return;
-    VmStatus Next = inPhase(Machine, VmPhase::Rebooting, Seen.Now_);
+    VmStatus Next = inPhase(Machine, VmPhase::Rebooting, Observed.Now_);
     Next.BootIdBeforeReboot_ = Row->second.BootId_;
     return Add(ActionKind::BeginReboot, Next, "drained");
   }
   case VmPhase::Rebooting: {
-    if (Row != Seen.List_.end() && Row->second.Live_ &&
+    if (Row != Observed.List_.end() && Row->second.Live_ &&
         Row->second.BootId_ != Status.BootIdBeforeReboot_)
       return Add(ActionKind::BeginProbation,
-                 inPhase(Machine, VmPhase::Probation, Seen.Now_), "booted");
-    if (Seen.Now_ - Status.Since_ > RebootTimeout)
-      return Add(ActionKind::Fail, inPhase(Machine, VmPhase::Failed, Seen.Now_),
+                 inPhase(Machine, VmPhase::Probation, Observed.Now_), "booted");
+    if (Observed.Now_ - Status.Since_ > RebootTimeout)
+      return Add(ActionKind::Fail,
+                 inPhase(Machine, VmPhase::Failed, Observed.Now_),
                  "did not come back from its reboot");
     // The list lags: as long as it shows the old boot the reboot may or may
     // not be under way. Asking again is harmless, since the platform reboots
     // only the boot that is named.
-    if (Row != Seen.List_.end() &&
+    if (Row != Observed.List_.end() &&
         Row->second.BootId_ == Status.BootIdBeforeReboot_)
       return Add(ActionKind::Reboot, Status, "reboot is due");
     return;
   }
   case VmPhase::Probation: {
-    VmStatus Next = inPhase(Machine, VmPhase::Active, Seen.Now_);
-    noteDone(Tables, Status.Wave_, Next);
+    VmStatus Next = inPhase(Machine, VmPhase::Active, Observed.Now_);
+    markDone(Tables, Status.Wave_, Next);
     Next.Wave_ = {};
     Next.BootIdBeforeReboot_.clear();
-    if (Seen.Probes_(Name).ConsecutiveSuccesses_ >= ProbesToPass)
+    if (Observed.Probes_(Name).ConsecutiveSuccesses_ >= ProbesToPass)
       return Add(ActionKind::Activate, Next, "passed its probation");
-    if (Seen.Now_ - Status.Since_ > ProbationTimeout)
-      return Add(ActionKind::Fail, inPhase(Machine, VmPhase::Failed, Seen.Now_),
+    if (Observed.Now_ - Status.Since_ > ProbationTimeout)
+      return Add(ActionKind::Fail,
+                 inPhase(Machine, VmPhase::Failed, Observed.Now_),
                  "did not pass its probation");
     return;
   }
@@ -183,88 +185,89 @@
     Machines.push_back(Machine);
 }
 
-fleet::Condition condition(const Wave &Of, std::string Type, bool Holds,
+fleet::Condition condition(const Wave &W, std::string Type, bool Holds,
                            std::string Reason, std::string Message) {
   return {std::move(Type),
           Holds ? ConditionStatus::True : ConditionStatus::False,
-          std::move(Reason), std::move(Message), Of.Metadata_.Generation_};
+          std::move(Reason), std::move(Message), W.Metadata_.Generation_};
 }
 
-class WaveStep {
+class WaveAdvancer {
 public:
-  WaveStep(const config::FleetTables &Tables, const Observations &Seen,
-           DisruptionBudgets &Budgets, Plan &Into)
-      : Tables_(Tables), Seen_(Seen), Budgets_(Budgets), Into_(Into) {}
+  WaveAdvancer(const config::FleetTables &Tables, const Observations &Observed,
+               DisruptionBudgets &Budgets, Plan &Output)
+      : Tables_(Tables), Observed_(Observed), Budgets_(Budgets),
+        Output_(Output) {}
 
-  void run(const Wave &Of) {
-    WaveProgress Progress = progressOf(Tables_, Of);
-    fleet::WaveStatus Status = Of.Status_;
+  void advance(const Wave &W) {
+    WaveProgress Progress = progressOf(Tables_, W);
+    fleet::WaveStatus Status = W.Status_;
     Status.Total_ = Progress.Total_;
     Status.Done_ = Progress.Done_;
     Status.Failed_ = Progress.Failed_;
     if (Status.StartedAt_ == TimePoint{})
-      Status.StartedAt_ = Seen_.Now_;
-    const BatchRoom Room = batchRoom(Of, Progress);
-    Status.Batch_ = Room.Size_;
-    Blocked_.clear();
-    if (Of.Spec_.Command_ == fleet::WaveCommand::Cancel)
+      Status.StartedAt_ = Observed_.Now_;
+    const BatchCapacity Capacity = batchCapacity(W, Progress);
+    Status.Batch_ = Capacity.Size_;
+    BlockedReason_.clear();
+    if (W.Spec_.Command_ == fleet::WaveCommand::Cancel)
       Status.Phase_ =
           Progress.InProgress_ == 0 ? WavePhase::Cancelled : WavePhase::Running;
     else if (Progress.Done_ + Progress.Failed_ == Progress.Total_)
       Status.Phase_ = WavePhase::Complete;
-    else if (mustHalt(Of, Progress))
+    else if (mustHalt(W, Progress))
       Status.Phase_ = WavePhase::Halted;
-    else if (Of.Spec_.Command_ == fleet::WaveCommand::Pause)
+    else if (W.Spec_.Command_ == fleet::WaveCommand::Pause)
       Status.Phase_ = WavePhase::Paused;
     else
-      start(Of, Progress, Room, Status);
+      start(W, Progress, Capacity, Status);
     Status.InProgress_ = Progress.InProgress_;
     if ((Status.Phase_ == WavePhase::Complete ||
          Status.Phase_ == WavePhase::Cancelled) &&
         Status.EndedAt_ == TimePoint{})
-      Status.EndedAt_ = Seen_.Now_;
-    setConditions(Of, Progress, Status);
-    if (Status != Of.Status_)
-      Into_.Waves_.push_back({Of.Metadata_.Name_, std::move(Status)});
+      Status.EndedAt_ = Observed_.Now_;
+    setConditions(W, Progress, Status);
+    if (Status != W.Status_)
+      Output_.Waves_.push_back({W.Metadata_.Name_, std::move(Status)});
   }
 
 private:
-  void start(const Wave &Of, WaveProgress &Progress, const BatchRoom &Room,
-             fleet::WaveStatus &Status) {
+  void start(const Wave &W, WaveProgress &Progress,
+             const BatchCapacity &Capacity, fleet::WaveStatus &Status) {
     Status.Phase_ = WavePhase::Running;
-    if (Room.Room_ == 0)
+    if (Capacity.Available_ == 0)
       return;
-    spreadOverRacks(Progress.ToDo_, Budgets_);
-    std::uint32_t Left = Room.Room_;
-    for (const Vm *Machine : Progress.ToDo_) {
+    spreadOverRacks(Progress.NotStarted_, Budgets_);
+    std::uint32_t Left = Capacity.Available_;
+    for (const Vm *Machine : Progress.NotStarted_) {
       if (Left == 0)
         return;
       // Checked for each: the ones before it count already.
       if (std::string Why = Budgets_.blockingReason(*Machine); !Why.empty()) {
-        if (Blocked_.empty())
-          Blocked_ = std::move(Why);
+        if (BlockedReason_.empty())
+          BlockedReason_ = std::move(Why);
         continue;
       }
       Budgets_.recordDisruption(*Machine);
       --Left;
       ++Progress.InProgress_;
-      VmStatus Next = inPhase(*Machine, VmPhase::Leaving, Seen_.Now_);
-      Next.Wave_ = fleet::WaveName(Of.Metadata_.Name_);
-      Into_.Vms_.push_back({ActionKind::Leave, Machine->Metadata_.Name_,
-                            VmPhase::Active, Next,
-                            "wave " + Of.Metadata_.Name_});
+      VmStatus Next = inPhase(*Machine, VmPhase::Leaving, Observed_.Now_);
+      Next.Wave_ = fleet::WaveName(W.Metadata_.Name_);
+      Output_.Vms_.push_back({ActionKind::Leave, Machine->Metadata_.Name_,
+                              VmPhase::Active, Next,
+                              "wave " + W.Metadata_.Name_});
     }
   }
 
-  void setConditions(const Wave &Of, const WaveProgress &Progress,
+  void setConditions(const Wave &W, const WaveProgress &Progress,
                      fleet::WaveStatus &Status) {
     const bool Stuck = Status.Phase_ == WavePhase::Running &&
-                       Progress.InProgress_ == 0 && !Blocked_.empty();
+                       Progress.InProgress_ == 0 && !BlockedReason_.empty();
     std::string Reason = "Advancing";
     std::string Message;
     if (Stuck) {
       Reason = "BudgetUsedUp";
-      Message = Blocked_;
+      Message = BlockedReason_;
     } else if (Status.Phase_ == WavePhase::Halted) {
       Reason = "TooManyFailures";
       Message = std::to_string(Progress.Failed_) +
@@ -279,22 +282,22 @@
     }
     const bool Going = Status.Phase_ == WavePhase::Running && !Stuck;
     Status.Conditions_ = {
-        condition(Of, "Progressing", Going, Reason, Message),
-        condition(Of, "Complete", Status.Phase_ == WavePhase::Complete,
+        condition(W, "Progressing", Going, Reason, Message),
+        condition(W, "Complete", Status.Phase_ == WavePhase::Complete,
                   std::string(fleet::nameOf(Status.Phase_)), "")};
   }
 
   const config::FleetTables &Tables_;
-  const Observations &Seen_;
+  const Observations &Observed_;
   DisruptionBudgets &Budgets_;
-  Plan &Into_;
-  std::string Blocked_;
+  Plan &Output_;
+  std::string BlockedReason_;
 };
 
 bool isCancelled(const config::FleetTables &Tables,
                  const fleet::WaveName &Name) {
-  const auto *Of = Tables.find<Wave>(Name.str());
-  return !Of || Of->Spec_.Command_ == fleet::WaveCommand::Cancel;
+  const auto *W = Tables.find<Wave>(Name.str());
+  return !W || W->Spec_.Command_ == fleet::WaveCommand::Cancel;
 }
 
 } // namespace
@@ -319,20 +322,21 @@
   return "leave";
 }
 
-Plan planWaves(const config::FleetTables &Tables, const Observations &Seen) {
+Plan planWaves(const config::FleetTables &Tables,
+               const Observations &Observed) {
   Plan Result;
   for (const auto &[Name, Machine] : Tables.Vms_)
     if (!Machine.Status_.Wave_.empty())
       advanceVm(Tables, Machine, isCancelled(Tables, Machine.Status_.Wave_),
-                Seen, Result);
+                Observed, Result);
   if (std::all_of(Tables.Waves_.begin(), Tables.Waves_.end(),
                   [](const auto &Row) { return isOver(Row.second); }))
     return Result;
-  DisruptionBudgets Budgets(Tables, Seen.List_);
-  WaveStep Step(Tables, Seen, Budgets, Result);
-  for (const auto &[Name, Of] : Tables.Waves_)
-    if (!isOver(Of))
-      Step.run(Of);
+  DisruptionBudgets Budgets(Tables, Observed.List_);
+  WaveAdvancer Advancer(Tables, Observed, Budgets, Result);
+  for (const auto &[Name, W] : Tables.Waves_)
+    if (!isOver(W))
+      Advancer.advance(W);
   return Result;
 }
 
--- a/src/membership/internal/reachability.cpp
+++ b/src/membership/internal/reachability.cpp
@@ -5,23 +5,24 @@
 namespace laburnumspread::membership {
 
 void ReachabilityTracker::recordStoreReply(TimePoint SentAt) {
-  StoreAt_ = std::max(StoreAt_, SentAt);
+  LastStoreReply_ = std::max(LastStoreReply_, SentAt);
 }
 
 void ReachabilityTracker::recordPeerReply(const MemberId &Peer,
                                           TimePoint SentAt) {
-  TimePoint &Last = PeersAt_[Peer];
+  TimePoint &Last = LastPeerReplies_[Peer];
   Last = std::max(Last, SentAt);
 }
 
 bool ReachabilityTracker::isStoreReachable(TimePoint Now) const {
-  return Now - StoreAt_ <= ReachabilityTimeout;
+  return Now - LastStoreReply_ <= ReachabilityTimeout;
 }
 
 bool ReachabilityTracker::isPeerReachable(const MemberId &Peer,
                                           TimePoint Now) const {
-  const auto At = PeersAt_.find(Peer);
-  return At != PeersAt_.end() && Now - At->second <= ReachabilityTimeout;
+  const auto At = LastPeerReplies_.find(Peer);
+  return At != LastPeerReplies_.end() &&
+         Now - At->second <= ReachabilityTimeout;
 }
 
 bool ReachabilityTracker::isMajorityReachable(const View &Current,
--- a/src/membership/internal/viewchanges.cpp
+++ b/src/membership/internal/viewchanges.cpp
@@ -26,7 +26,7 @@
                       [&](const Member &Item) { return Item.Id_ == Id; });
 }
 
-bool hasArrived(const View &Current, const MemberProgress &Progress) {
+bool transferComplete(const View &Current, const MemberProgress &Progress) {
   return Progress.View_ == Current.Number_ && Progress.HeldUnits_ == 0 &&
          Progress.BucketsToCopy_ == 0;
 }
@@ -102,14 +102,14 @@
   return Result;
 }
 
-absl::StatusOr<View> withJoined(const View &Current, const Member &Joiner) {
+absl::StatusOr<View> withJoined(const View &Current, const Member &NewMember) {
   for (const Member &Item : Current.Members_)
-    if (Item.Id_.Name_ == Joiner.Id_.Name_)
+    if (Item.Id_.Name_ == NewMember.Id_.Name_)
       return absl::AlreadyExistsError("a run of this entry is in the view");
   if (Current.SettledThrough_ < Current.LastJoin_)
     return absl::FailedPreconditionError("an earlier join is not settled");
   View Next = nextView(Current);
-  Next.Members_.push_back(Joiner);
+  Next.Members_.push_back(NewMember);
   Next.LastJoin_ = Next.Number_;
   return Next;
 }
@@ -130,14 +130,14 @@
   if (At == Next.Members_.end())
     return absl::NotFoundError("not a member");
   Next.Members_.erase(At);
-  Next.Departed_.push_back({Id, ReusableAfter});
+  Next.DepartedMembers_.push_back({Id, ReusableAfter});
   return Next;
 }
 
 bool canSettle(const View &Current, std::span<const MemberProgress> Progress,
                TimePoint Now) {
   const bool LeasesEnded = std::all_of(
-      Current.Departed_.begin(), Current.Departed_.end(),
+      Current.DepartedMembers_.begin(), Current.DepartedMembers_.end(),
       [&](const DepartedMember &Item) { return Item.ReusableAfter_ < Now; });
   return LeasesEnded &&
          std::all_of(Current.Members_.begin(), Current.Members_.end(),
@@ -145,7 +145,8 @@
                        return std::any_of(Progress.begin(), Progress.end(),
                                           [&](const MemberProgress &Row) {
                                             return Row.Id_ == Item.Id_ &&
-                                                   hasArrived(Current, Row);
+                                                   transferComplete(Current,
+                                                                    Row);
                                           });
                      });
 }
@@ -154,21 +155,21 @@
   View Settled = Current;
   Settled.SettledThrough_ = Current.Number_;
   Settled.Past_.clear();
-  Settled.Departed_.clear();
+  Settled.DepartedMembers_.clear();
   return Settled;
 }
 
 std::string toText(const View &Value) {
-  json::array Members, Past, Gone;
+  json::array Members, Past, Departed;
   for (const Member &Item : Value.Members_)
     Members.push_back(toJson(Item));
   for (const PastView &Item : Value.Past_)
     Past.push_back(toJson(Item));
-  for (const DepartedMember &Item : Value.Departed_) {
+  for (const DepartedMember &Item : Value.DepartedMembers_) {
     json::object Row = toJson(Item.Id_);
     Row["reusableAfterMicros"] =
         framework::clock::toMicros(Item.ReusableAfter_);
-    Gone.push_back(std::move(Row));
+    Departed.push_back(std::move(Row));
   }
   return json::serialize(
       json::object{{"number", Value.Number_.value()},
@@ -176,7 +177,7 @@
                    {"lastJoin", Value.LastJoin_.value()},
                    {"members", std::move(Members)},
                    {"past", std::move(Past)},
-                   {"departed", std::move(Gone)}});
+                   {"departed", std::move(Departed)}});
 }
 
 absl::StatusOr<View> parseView(std::string_view Text) {
@@ -199,7 +200,7 @@
     Item.Id_ = readId(Row);
     Item.ReusableAfter_ = framework::clock::fromMicros(
         Row.requiredInt("reusableAfterMicros", {}));
-    Result.Departed_.push_back(std::move(Item));
+    Result.DepartedMembers_.push_back(std::move(Item));
   });
   if (!Errors.empty())
     return absl::InvalidArgumentError(framework::settings::describe(Errors));
--- a/src/membership/membershiptypes.h
+++ b/src/membership/membershiptypes.h
@@ -64,7 +64,7 @@
   std::vector<Member> Members_;
   /// Views from SettledThrough_ to the one before this, oldest first.
   std::vector<PastView> Past_;
-  std::vector<DepartedMember> Departed_;
+  std::vector<DepartedMember> DepartedMembers_;
 
   const Member *find(const MemberId &Id) const;
   std::vector<Owner> owners() const;
--- a/src/membership/reachability.h
+++ b/src/membership/reachability.h
@@ -40,8 +40,8 @@
   bool fenced(const View &Current, const MemberId &Self, TimePoint Now) const;
 
 private:
-  TimePoint StoreAt_{};
-  std::unordered_map<MemberId, TimePoint> PeersAt_;
+  TimePoint LastStoreReply_{};
+  std::unordered_map<MemberId, TimePoint> LastPeerReplies_;
 };
 
 } // namespace laburnumspread::membership
--- a/src/membership/viewchanges.h
+++ b/src/membership/viewchanges.h
@@ -28,7 +28,7 @@
 /// not settled: a second one could move a unit again while its first move is
 /// still under way, and the gainer would have to wait for a chain of members.
 /// AlreadyExists when the member, or a newer run of it, is in the view.
-absl::StatusOr<View> withJoined(const View &Current, const Member &Joiner);
+absl::StatusOr<View> withJoined(const View &Current, const Member &NewMember);
 
 /// The view in which \p Id owns nothing any more. NotFound if it is no member.
 absl::StatusOr<View> withLeaving(const View &Current, const MemberId &Id);
--- a/src/pools/internal/moveplanner.cpp
+++ b/src/pools/internal/moveplanner.cpp
@@ -56,18 +56,18 @@
 }
 
 std::map<PoolName, MovePlanner::PoolSummary>
-MovePlanner::summarizePools(const MoveInputs &Seen) const {
+MovePlanner::summarizePools(const MoveInputs &Inputs) const {
   std::map<PoolName, PoolSummary> Result;
-  for (const auto &[Name, Declared] : Seen.Tables_.Pools_) {
+  for (const auto &[Name, Declared] : Inputs.Tables_.Pools_) {
     PoolSummary &Row = Result[PoolName(Name)];
     Row.Name_ = PoolName(Name);
     Row.Declared_ = &Declared;
-    Row.Demand_ = Seen.Demand_(Row.Name_);
-    Row.InWave_ = isWaveActive(Seen.Tables_, Row.Name_);
+    Row.Demand_ = Inputs.Demand_(Row.Name_);
+    Row.InWave_ = isWaveActive(Inputs.Tables_, Row.Name_);
   }
-  for (const auto &[Name, Machine] : Seen.Tables_.Vms_) {
+  for (const auto &[Name, Machine] : Inputs.Tables_.Vms_) {
     const auto Row = Result.find(fleet::currentPool(Machine));
-    if (Row == Result.end() || !maintenance::isAvailable(Machine, Seen.List_))
+    if (Row == Result.end() || !maintenance::isAvailable(Machine, Inputs.List_))
       continue;
     Row->second.Usable_.push_back(&Machine);
     Row->second.Slots_ += Machine.Spec_.Slots_.value();
@@ -103,12 +103,12 @@
 /// The VM with the least work; among equals one of the zone that has most, so
 /// that the donor stays spread over its zones.
 const Vm *MovePlanner::leastLoadedVm(const PoolSummary &Donor,
-                                     const MoveInputs &Seen) {
+                                     const MoveInputs &Inputs) {
   std::map<fleet::ZoneName, int> InZone;
   for (const Vm *Machine : Donor.Usable_)
     ++InZone[Machine->Spec_.Zone_];
   auto Rank = [&](const Vm *Machine) {
-    return std::tuple(Seen.RunningOn_(Machine->Metadata_.Name_),
+    return std::tuple(Inputs.RunningOn_(Machine->Metadata_.Name_),
                       -InZone[Machine->Spec_.Zone_],
                       std::string_view(Machine->Metadata_.Name_));
   };
@@ -120,7 +120,7 @@
 }
 
 void MovePlanner::lend(PoolSummary &To, std::map<PoolName, PoolSummary> &Pools,
-                       const MoveInputs &Seen, std::vector<Move> &Into) {
+                       const MoveInputs &Inputs, std::vector<Move> &Moves) {
   std::vector<PoolSummary *> Donors;
   for (auto &[Name, Row] : Pools)
     if (Name != To.Name_)
@@ -134,52 +134,52 @@
   for (PoolSummary *Donor : Donors) {
     while (Moved < MaxMovesPerTick && To.Slots_ < requiredSlots(To.Demand_) &&
            canLend(*Donor)) {
-      const Vm *Machine = leastLoadedVm(*Donor, Seen);
+      const Vm *Machine = leastLoadedVm(*Donor, Inputs);
       if (!Machine)
         break;
       std::erase(Donor->Usable_, Machine);
       Donor->Slots_ -= Machine->Spec_.Slots_.value();
       To.Slots_ += Machine->Spec_.Slots_.value();
       ++Moved;
-      Into.push_back({Machine->Metadata_.Name_, Donor->Name_, To.Name_,
-                      Machine->Spec_.Pool_ == To.Name_,
-                      "more work than slots"});
+      Moves.push_back({Machine->Metadata_.Name_, Donor->Name_, To.Name_,
+                       Machine->Spec_.Pool_ == To.Name_,
+                       "more work than slots"});
     }
   }
 }
 
-void MovePlanner::returnIdleVms(PoolSummary &From, const MoveInputs &Seen,
-                                std::vector<Move> &Into) {
+void MovePlanner::returnIdleVms(PoolSummary &From, const MoveInputs &Inputs,
+                                std::vector<Move> &Moves) {
   std::uint32_t Moved = 0;
   for (const Vm *Machine : From.Usable_) {
     const std::uint32_t Slots = Machine->Spec_.Slots_.value();
     const bool StaysUnderused =
         requiredSlots(From.Demand_) < UnderusedBelow * (From.Slots_ - Slots);
     if (Machine->Status_.LentTo_.empty() || Moved >= MaxMovesPerTick ||
-        !StaysUnderused || Seen.RunningOn_(Machine->Metadata_.Name_) > 0)
+        !StaysUnderused || Inputs.RunningOn_(Machine->Metadata_.Name_) > 0)
       continue;
     From.Slots_ -= Slots;
     ++Moved;
-    Into.push_back({Machine->Metadata_.Name_, From.Name_, Machine->Spec_.Pool_,
-                    true, "room to spare"});
+    Moves.push_back({Machine->Metadata_.Name_, From.Name_, Machine->Spec_.Pool_,
+                     true, "room to spare"});
   }
 }
 
-std::vector<Move> MovePlanner::plan(const MoveInputs &Seen) {
+std::vector<Move> MovePlanner::plan(const MoveInputs &Inputs) {
   std::vector<Move> Result;
-  auto Pools = summarizePools(Seen);
+  auto Pools = summarizePools(Inputs);
   for (const auto &[Name, Row] : Pools)
-    updatePoolState(Row, Seen.Now_);
+    updatePoolState(Row, Inputs.Now_);
   for (auto &[Name, Row] : Pools) {
     if (Row.InWave_ || Row.Declared_->Spec_.Spare_)
       continue;
     const PoolState &State = States_[Name];
     if (State.OverloadedSince_ != TimePoint{} &&
-        Seen.Now_ - State.OverloadedSince_ >= lendDelay())
-      lend(Row, Pools, Seen, Result);
+        Inputs.Now_ - State.OverloadedSince_ >= lendDelay())
+      lend(Row, Pools, Inputs, Result);
     else if (State.UnderusedSince_ != TimePoint{} &&
-             Seen.Now_ - State.UnderusedSince_ >= returnDelay())
-      returnIdleVms(Row, Seen, Result);
+             Inputs.Now_ - State.UnderusedSince_ >= returnDelay())
+      returnIdleVms(Row, Inputs, Result);
   }
   return Result;
 }
--- a/src/pools/moveplanner.h
+++ b/src/pools/moveplanner.h
@@ -53,9 +53,9 @@
 /// with the weight of moves against closeness.
 class MovePlanner {
 public:
-  explicit MovePlanner(MoveWeights Weighed) : Weights_(Weighed) {}
+  explicit MovePlanner(MoveWeights Weights) : Weights_(Weights) {}
 
-  std::vector<Move> plan(const MoveInputs &Seen);
+  std::vector<Move> plan(const MoveInputs &Inputs);
 
   Duration lendDelay() const;
   Duration returnDelay() const;
@@ -75,15 +75,15 @@
   };
 
   std::map<fleet::PoolName, PoolSummary>
-  summarizePools(const MoveInputs &Seen) const;
+  summarizePools(const MoveInputs &Inputs) const;
   void updatePoolState(const PoolSummary &Pool, TimePoint Now);
   void lend(PoolSummary &To, std::map<fleet::PoolName, PoolSummary> &Pools,
-            const MoveInputs &Seen, std::vector<Move> &Into);
-  void returnIdleVms(PoolSummary &From, const MoveInputs &Seen,
-                     std::vector<Move> &Into);
+            const MoveInputs &Inputs, std::vector<Move> &Moves);
+  void returnIdleVms(PoolSummary &From, const MoveInputs &Inputs,
+                     std::vector<Move> &Moves);
   bool canLend(const PoolSummary &Donor) const;
   static const fleet::Vm *leastLoadedVm(const PoolSummary &Donor,
-                                        const MoveInputs &Seen);
+                                        const MoveInputs &Inputs);
 
   MoveWeights Weights_;
   std::map<fleet::PoolName, PoolState> States_;
--- a/src/routing/internal/endpointtable.cpp
+++ b/src/routing/internal/endpointtable.cpp
@@ -67,16 +67,17 @@
 std::optional<EndpointIndex>
 EndpointTable::selectEndpoint(const PoolName &Pool, const RouteInputs &Inputs,
                               std::mt19937_64 &Random) const {
-  std::vector<EndpointIndex> Near, Far;
+  std::vector<EndpointIndex> SameZone, OtherZones;
   for (EndpointIndex Index : inPool(Pool)) {
     const Endpoint &Row = at(Index);
     if (!eligible(Row, Inputs) ||
         std::find(Inputs.Excluded_.begin(), Inputs.Excluded_.end(), Index) !=
             Inputs.Excluded_.end())
       continue;
-    (Row.Zone_ == Inputs.OwnZone_ ? Near : Far).push_back(Index);
+    (Row.Zone_ == Inputs.OwnZone_ ? SameZone : OtherZones).push_back(Index);
   }
-  const std::vector<EndpointIndex> &From = Near.empty() ? Far : Near;
+  const std::vector<EndpointIndex> &From =
+      SameZone.empty() ? OtherZones : SameZone;
   if (From.empty())
     return std::nullopt;
   const EndpointIndex A = From[Random() % From.size()];
@@ -111,10 +112,10 @@
     return HealthChange::Restored;
   }
   ++Row.ConsecutiveFailures_;
-  const bool Again = Row.Health_ == Health::Probation;
+  const bool FailedProbation = Row.Health_ == Health::Probation;
   if (Row.Health_ == Health::Ejected ||
-      !(Again || (Row.ConsecutiveFailures_ >= EjectAfterFailures &&
-                  mayEject(Row, MaxEjectionPercent))))
+      !(FailedProbation || (Row.ConsecutiveFailures_ >= EjectAfterFailures &&
+                            mayEject(Row, MaxEjectionPercent))))
     return HealthChange::None;
   Row.Health_ = Health::Ejected;
   Ejected_.push_back(Index);
--- a/src/routing/internal/runtimeestimates.cpp
+++ b/src/routing/internal/runtimeestimates.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-void blend(double &Mean, double Sample) {
+void updateAverage(double &Mean, double Sample) {
   Mean =
       Mean == 0 ? Sample : Mean + RunTimeEstimates::Smoothing * (Sample - Mean);
 }
@@ -27,8 +27,8 @@
                                      const fleet::TeamName &Team,
                                      Duration RunTime) {
   const auto Micros = static_cast<double>(RunTime.count());
-  blend(TeamMicros_[{Pool, Team}], Micros);
-  blend(PoolMicros_[Pool], Micros);
+  updateAverage(TeamMicros_[{Pool, Team}], Micros);
+  updateAverage(PoolMicros_[Pool], Micros);
 }
 
 Duration RunTimeEstimates::meanRunTime(const fleet::PoolName &Pool) const {
--- a/src/sharing/fleetusage.h
+++ b/src/sharing/fleetusage.h
@@ -38,10 +38,10 @@
   const std::map<TeamName, TeamUsage> &totals(const PoolName &Pool) const;
   /// Of this entry alone.
   std::vector<Row> localRows() const;
-  /// At most \p Most rows of this entry that have changed since they were last
-  /// taken, those with waiting requests first; one that has become empty is
-  /// given as zeros. The others stay for the next call.
-  std::vector<Row> takeChanged(std::size_t Most);
+  /// At most \p MaxRows rows of this entry that have changed since they were
+  /// last taken, those with waiting requests first; one that has become empty
+  /// is given as zeros. The others stay for the next call.
+  std::vector<Row> takeChanged(std::size_t MaxRows);
   /// Marks all rows as changed, so that a loss is made good in time.
   void markAllChanged();
 
@@ -51,13 +51,13 @@
     TeamName Team_;
     auto operator<=>(const Key &) const = default;
   };
-  void changeOwn(const PoolName &Pool, const TeamName &Team,
-                 const TeamUsage &By, int Sign);
-  void shift(const PoolName &Pool, const TeamName &Team, const TeamUsage &By,
-             int Sign);
+  void adjustLocal(const PoolName &Pool, const TeamName &Team,
+                   const TeamUsage &By, int Sign);
+  void adjustTotal(const PoolName &Pool, const TeamName &Team,
+                   const TeamUsage &By, int Sign);
 
-  std::map<PoolName, std::map<TeamName, TeamUsage>> Total_;
-  std::map<Key, TeamUsage> Own_;
+  std::map<PoolName, std::map<TeamName, TeamUsage>> Totals_;
+  std::map<Key, TeamUsage> Local_;
   std::set<Key> Changed_;
   std::unordered_map<MemberId, std::vector<Row>> Peers_;
 };
--- a/src/sharing/internal/fleetusage.cpp
+++ b/src/sharing/internal/fleetusage.cpp
@@ -4,9 +4,9 @@
 
 namespace laburnumspread::sharing {
 
-void FleetUsage::shift(const PoolName &Pool, const TeamName &Team,
-                       const TeamUsage &By, int Sign) {
-  auto &Teams = Total_[Pool];
+void FleetUsage::adjustTotal(const PoolName &Pool, const TeamName &Team,
+                             const TeamUsage &By, int Sign) {
+  auto &Teams = Totals_[Pool];
   TeamUsage &Into = Teams[Team];
   Into.Running_ += Sign * static_cast<int>(By.Running_);
   Into.Waiting_ += Sign * static_cast<int>(By.Waiting_);
@@ -18,7 +18,7 @@
                                  const std::vector<Row> &Rows) {
   removePeer(Peer);
   for (const Row &Item : Rows)
-    shift(Item.Pool_, Item.Team_, Item.Usage_, 1);
+    adjustTotal(Item.Pool_, Item.Team_, Item.Usage_, 1);
   if (!Rows.empty())
     Peers_[Peer] = Rows;
 }
@@ -28,7 +28,7 @@
   if (At == Peers_.end())
     return;
   for (const Row &Item : At->second)
-    shift(Item.Pool_, Item.Team_, Item.Usage_, -1);
+    adjustTotal(Item.Pool_, Item.Team_, Item.Usage_, -1);
   Peers_.erase(At);
 }
 
@@ -45,47 +45,47 @@
   replacePeerRows(Peer, Known);
 }
 
-void FleetUsage::changeOwn(const PoolName &Pool, const TeamName &Team,
-                           const TeamUsage &By, int Sign) {
+void FleetUsage::adjustLocal(const PoolName &Pool, const TeamName &Team,
+                             const TeamUsage &By, int Sign) {
   const Key Where{Pool, Team};
-  TeamUsage &Into = Own_[Where];
+  TeamUsage &Into = Local_[Where];
   Into.Running_ += Sign * static_cast<int>(By.Running_);
   Into.Waiting_ += Sign * static_cast<int>(By.Waiting_);
   if (Into.Running_ + Into.Waiting_ == 0)
-    Own_.erase(Where);
+    Local_.erase(Where);
   Changed_.insert(Where);
-  shift(Pool, Team, By, Sign);
+  adjustTotal(Pool, Team, By, Sign);
 }
 
-std::vector<FleetUsage::Row> FleetUsage::takeChanged(std::size_t Most) {
+std::vector<FleetUsage::Row> FleetUsage::takeChanged(std::size_t MaxRows) {
   std::vector<Row> Rows;
   for (const Key &Where : Changed_) {
-    const auto At = Own_.find(Where);
+    const auto At = Local_.find(Where);
     Rows.push_back({Where.Pool_, Where.Team_,
-                    At == Own_.end() ? TeamUsage() : At->second});
+                    At == Local_.end() ? TeamUsage() : At->second});
   }
   std::stable_partition(Rows.begin(), Rows.end(), [](const Row &Item) {
     return Item.Usage_.Waiting_ > 0;
   });
-  Rows.resize(std::min(Rows.size(), Most));
+  Rows.resize(std::min(Rows.size(), MaxRows));
   for (const Row &Item : Rows)
     Changed_.erase({Item.Pool_, Item.Team_});
   return Rows;
 }
 
 void FleetUsage::markAllChanged() {
-  for (const auto &[Where, Use] : Own_)
+  for (const auto &[Where, Use] : Local_)
     Changed_.insert(Where);
 }
 
 void FleetUsage::addRunning(const PoolName &Pool, const TeamName &Team,
                             int By) {
-  changeOwn(Pool, Team, {1, 0}, By);
+  adjustLocal(Pool, Team, {1, 0}, By);
 }
 
 void FleetUsage::addWaiting(const PoolName &Pool, const TeamName &Team,
                             int By) {
-  changeOwn(Pool, Team, {0, 1}, By);
+  adjustLocal(Pool, Team, {0, 1}, By);
 }
 
 TeamUsage FleetUsage::total(const PoolName &Pool, const TeamName &Team) const {
@@ -97,13 +97,13 @@
 const std::map<TeamName, TeamUsage> &
 FleetUsage::totals(const PoolName &Pool) const {
   static const std::map<TeamName, TeamUsage> None;
-  const auto At = Total_.find(Pool);
-  return At == Total_.end() ? None : At->second;
+  const auto At = Totals_.find(Pool);
+  return At == Totals_.end() ? None : At->second;
 }
 
 std::vector<FleetUsage::Row> FleetUsage::localRows() const {
   std::vector<Row> Result;
-  for (const auto &[Where, Use] : Own_)
+  for (const auto &[Where, Use] : Local_)
     if (Use.Running_ + Use.Waiting_ > 0)
       Result.push_back({Where.Pool_, Where.Team_, Use});
   return Result;
--- a/src/sharing/internal/poolqueue.cpp
+++ b/src/sharing/internal/poolqueue.cpp
@@ -10,14 +10,14 @@
 
 /// Smaller is served first.
 struct Rank {
-  int Group_ = 0;
-  double Fullness_ = 0;
+  int PriorityGroup_ = 0;
+  double WeightedUsage_ = 0;
   RequestClass Class_ = RequestClass::Normal;
   TimePoint ArrivedAt_{};
 
   bool operator<(const Rank &Other) const {
-    return std::tie(Group_, Fullness_, Class_, ArrivedAt_) <
-           std::tie(Other.Group_, Other.Fullness_, Other.Class_,
+    return std::tie(PriorityGroup_, WeightedUsage_, Class_, ArrivedAt_) <
+           std::tie(Other.PriorityGroup_, Other.WeightedUsage_, Other.Class_,
                     Other.ArrivedAt_);
   }
 };
@@ -26,7 +26,7 @@
 constexpr int AllOthers = 1;
 
 /// What the rank of a team's requests depends on.
-struct Standing {
+struct TeamState {
   double Weight_ = 1;
   double Running_ = 0;
 };
@@ -45,11 +45,11 @@
   }
 
   /// Found in a step if teams are asked for in the order of their names.
-  Standing find(const TeamName &Team) {
+  TeamState find(const TeamName &Team) {
     while (Next_ < Rows_.size() && *Rows_[Next_].Team_ < Team)
       ++Next_;
     if (Next_ < Rows_.size() && *Rows_[Next_].Team_ == Team)
-      return Rows_[Next_].Standing_;
+      return Rows_[Next_].State_;
     return {};
   }
   void rewind() { Next_ = 0; }
@@ -58,14 +58,14 @@
 private:
   struct Row {
     const TeamName *Team_;
-    Standing Standing_;
+    TeamState State_;
   };
   std::vector<Row> Rows_;
   std::size_t Next_ = 0;
   double Sum_ = 0;
 };
 
-Rank rankOf(const Standing &Of, RequestClass Class, TimePoint ArrivedAt,
+Rank rankOf(const TeamState &Of, RequestClass Class, TimePoint ArrivedAt,
             double Active, const ShareInputs &Inputs) {
   const double Weight = Of.Weight_;
   const double Running = Of.Running_;
@@ -73,8 +73,8 @@
       Active > 0 ? Inputs.PoolSlots_ * Weight / Active : Inputs.PoolSlots_;
   // An urgent request goes first only within its team's share: otherwise one
   // team could mark everything urgent and starve the rest.
-  const bool First = Class == RequestClass::Urgent && Running + 1 <= Share;
-  return {First ? UrgentBelowShare : AllOthers, Running / Weight, Class,
+  const bool GoesFirst = Class == RequestClass::Urgent && Running + 1 <= Share;
+  return {GoesFirst ? UrgentBelowShare : AllOthers, Running / Weight, Class,
           ArrivedAt};
 }
 
@@ -157,22 +157,22 @@
     const Ticket *Head = head(Queue);
     if (!Head || !Inputs.MayStart_(Team))
       continue;
-    const Rank Here = rankOf(Active.find(Team), Head->Class_, Head->ArrivedAt_,
-                             Active.weight(), Inputs);
-    if (Best && !(Here < *Best))
+    const Rank Candidate = rankOf(Active.find(Team), Head->Class_,
+                                  Head->ArrivedAt_, Active.weight(), Inputs);
+    if (Best && !(Candidate < *Best))
       continue;
-    Best = Here;
+    Best = Candidate;
     Chosen = *Head;
   }
   for (const BorrowRequest &Wish : BorrowRequests_) {
     if (Wish.ExpiresAt_ <= Inputs.Now_)
       continue;
     Active.rewind();
-    const Rank Here = rankOf(Active.find(Wish.Team_), Wish.Class_, Inputs.Now_,
-                             Active.weight(), Inputs);
-    if (Best && !(Here < *Best))
+    const Rank Candidate = rankOf(Active.find(Wish.Team_), Wish.Class_,
+                                  Inputs.Now_, Active.weight(), Inputs);
+    if (Best && !(Candidate < *Best))
       continue;
-    Best = Here;
+    Best = Candidate;
     Chosen = Wish;
   }
   return Chosen;
