--- a/src/limits/internal/subjectstate.h
+++ b/src/limits/internal/subjectstate.h
@@ -9,40 +9,42 @@
 
 namespace laburnumspread::limits {
 
-/// A unit in use, by work of this entry or by a borrower.
+/// A unit used by this entry's work or lent out.
 struct UsedUnit {
   Unit Unit_;
-  /// 0 for own work, else the sequence number of the loan.
+  /// Sequence number of the loan, or 0 for this entry's own work.
   std::uint64_t Loan_ = 0;
 
   std::uint32_t block() const { return Unit_.value() % MaximumBlocks; }
 };
 
-/// Units of one subject that this entry owns, or still uses. Kept small: at
-/// the design size there are more than a hundred thousand.
+/// A block of units of one subject that this entry owns or still uses. Kept
+/// small, since there are more than 100,000 of them at the design size.
 struct Block {
   std::uint16_t Index_ = 0;
   bool Owned_ = false;
-  /// Whether some earlier owner has not released the block yet.
+  /// Whether an earlier owner has not yet released the block.
   bool Blocked_ = false;
   std::uint16_t Used_ = 0;
 
   bool available() const { return Owned_ && !Blocked_; }
 };
 
-/// Number of units of block \p Index under limit \p Limit.
+/// Number of units in block \p Index under limit \p Limit.
 inline std::uint32_t capacity(std::uint32_t Index, std::uint32_t Limit) {
   if (Index >= Limit)
     return 0;
   return (Limit - Index - 1) / MaximumBlocks + 1;
 }
 
+/// A unit lent to this entry.
 struct BorrowedUnit {
   Loan Loan_;
   bool InUse_ = false;
   TimePoint IdleSince_{};
 };
 
+/// The limit of one subject and the units that this entry holds of it.
 struct SubjectState {
   SubjectName Name_;
   std::uint64_t Hash_ = 0;
@@ -50,7 +52,7 @@
   std::vector<Block> Blocks_;
   std::vector<UsedUnit> Used_;
   std::vector<BorrowedUnit> Borrowed_;
-  /// Where the last search for a free block ended.
+  /// Index of the block at which the next search for a free unit starts.
   std::size_t Cursor_ = 0;
 
   std::uint32_t blockCount() const { return std::min(Limit_, MaximumBlocks); }
@@ -60,7 +62,8 @@
   }
 };
 
-/// Lowest unit of the block that is within the limit and not in use.
+/// Returns the lowest unit of the block that is within the limit and not in
+/// use, or nullopt if there is none or the block is not available.
 inline std::optional<Unit> freeUnit(const SubjectState &Subject,
                                     const Block &Item) {
   const std::uint32_t Capacity = capacity(Item.Index_, Subject.Limit_);
--- a/src/limits/internal/unitledger.cpp
+++ b/src/limits/internal/unitledger.cpp
@@ -42,16 +42,17 @@
   std::unordered_map<SubjectName, std::uint32_t> Index_;
   std::vector<Ownership> Past_;
   Ownership Present_{std::span<const Owner>()};
-  /// Statements heard at the present view, by speaker.
+  /// Units still held, from the release statements received at the current
+  /// view, by the member that sent them.
   std::map<MemberId, std::set<HeldUnit>> ReleaseStatements_;
   std::map<std::uint64_t, LentUnit> Lent_;
-  /// Subjects with loans of others. Few at any time, while the subjects are
-  /// tens of thousands at the design size and upkeep comes twenty times a
-  /// second.
+  /// Indexes of the subjects that have borrowed units. Lets the tick, which
+  /// runs 20 times a second, skip the other subjects, of which there are tens
+  /// of thousands at the design size.
   std::set<std::uint32_t> BorrowingSubjects_;
   std::uint64_t NextLoan_ = 1;
-  /// Loans that were given back, kept until they are dead: a copy of the grant
-  /// that arrives late must not bring one back to life.
+  /// Returned loans and their expiry times. Kept until they expire, so that a
+  /// delayed copy of the grant does not reactivate one.
   std::map<LoanId, TimePoint> ReturnedLoans_;
   TimePoint Now_{};
 
@@ -65,7 +66,8 @@
     return const_cast<Block *>(findBlock(std::as_const(In), Index));
   }
 
-  /// Whether an earlier owner no longer has any right to the block.
+  /// Whether the earlier owner has given up the block, by its release statement
+  /// or, if it was removed, because its task leases have expired.
   bool hasReleased(const MemberId &Earlier, const SubjectState &Subject,
                    std::uint32_t Index) const {
     for (const membership::DepartedMember &Departed : View_.DepartedMembers_)
@@ -93,7 +95,7 @@
         });
   }
 
-  /// Brings the blocks of a subject in line with view and limit.
+  /// Recomputes the blocks of a subject from the current view and limit.
   void refreshBlocks(SubjectState &Subject) {
     for (Block &Item : Subject.Blocks_)
       Item.Owned_ = false;
@@ -124,7 +126,8 @@
           refreshBlocked(Subject, Item);
   }
 
-  /// Ends the use of a unit, and forgets a block that is another's by now.
+  /// Marks a unit as no longer used. Removes its block if another member owns
+  /// it by now and none of its units is in use.
   void endUnitUse(SubjectState &Subject, Unit Which,
                   std::uint64_t LoanSequence) {
     const auto Ended = std::erase_if(Subject.Used_, [&](const UsedUnit &U) {
@@ -139,7 +142,8 @@
                             (Item - Subject.Blocks_.data()));
   }
 
-  /// Finds a free unit of the entry's own and marks it used.
+  /// Marks a free owned unit as used and returns it, or nullopt if there is
+  /// none. \p LoanSequence is 0 for this entry's own work.
   std::optional<Unit> takeOwnUnit(SubjectState &From,
                                   std::uint64_t LoanSequence) {
     const std::size_t Count = From.Blocks_.size();
--- a/src/limits/tests/unitledgermodeltest.cpp
+++ b/src/limits/tests/unitledgermodeltest.cpp
@@ -15,11 +15,10 @@
 using namespace laburnumspread::membership;
 using namespace std::chrono_literals;
 
-// Several entries with lost, repeated, delayed and reordered messages, pauses,
-// kills, joins, leaves and limit changes in any order. After each step no unit
-// of the team is held by two pieces of running work, whoever runs them: a live
-// entry, or an endpoint whose entry was killed and whose task lease still
-// lasts.
+// Model test of several entries. Messages are lost, duplicated, delayed and
+// reordered; entries pause, crash, join and leave; the limit changes. After
+// each step no unit may be held by two pieces of running work, including work
+// on the endpoints of a crashed entry whose task lease has not expired.
 
 namespace {
 
@@ -47,8 +46,8 @@
   std::optional<LoanId> Return_;
 };
 
-/// The model: the platform's store (one view, changed by compare-and-swap), a
-/// network that delivers what it likes, and the endpoints.
+/// The model: the store with one view, an unreliable network, the entries and
+/// their endpoints.
 class Fleet {
 public:
   explicit Fleet(std::uint64_t Seed) : Random_(Seed) {
@@ -87,7 +86,7 @@
     }
   }
 
-  /// Whether no unit is in two hands.
+  /// Whether no unit is held twice.
   bool holdsInvariant() const {
     std::set<std::uint32_t> Held;
     auto Add = [&](const Running &Item) {
@@ -98,7 +97,7 @@
       for (const Running &Work : Item->Work_)
         if (!Add(Work))
           return false;
-    for (const Running &Work : Orphans_)
+    for (const Running &Work : RunningAtCrashed_)
       if (!Add(Work))
         return false;
     return true;
@@ -138,15 +137,17 @@
       View_ = *Next;
   }
 
-  /// The process dies; its endpoints run on until their task leases end.
+  /// Crashes an entry. Its endpoints keep running work until the task leases
+  /// expire.
   void kill() {
     if (Entries_.size() < 2)
       return;
     const std::size_t At = below(Entries_.size());
-    Entry &Dead = *Entries_[At];
-    Orphans_.insert(Orphans_.end(), Dead.Work_.begin(), Dead.Work_.end());
+    Entry &Crashed = *Entries_[At];
+    RunningAtCrashed_.insert(RunningAtCrashed_.end(), Crashed.Work_.begin(),
+                             Crashed.Work_.end());
     const absl::StatusOr<View> Next = withRemoved(
-        View_, Dead.Self_.Id_,
+        View_, Crashed.Self_.Id_,
         Now_ + TaskLease + laburnumspread::framework::clock::ClockSkewMargin);
     if (Next.ok())
       View_ = *Next;
@@ -177,7 +178,7 @@
     case 4:
       return finish(One);
     case 5:
-      return speak(One);
+      return send(One);
     default:
       return deliver();
     }
@@ -187,8 +188,8 @@
     const TimePoint Until =
         Now_ + std::chrono::milliseconds(1 + below(TaskLease / 1ms - 1));
     const SubjectIndex Index = *One.Ledger_.find(Team);
-    if (auto Got = One.Ledger_.acquire(Index, Until, Now_))
-      One.Work_.push_back({*Got, Until});
+    if (auto Acquired = One.Ledger_.acquire(Index, Until, Now_))
+      One.Work_.push_back({*Acquired, Until});
   }
 
   void finish(Entry &One) {
@@ -199,13 +200,13 @@
     One.Work_.erase(One.Work_.begin() + At);
   }
 
-  void speak(Entry &One) {
+  void send(Entry &One) {
     const std::size_t To = below(Entries_.size());
-    Message Out;
-    Out.To_ = Entries_[To]->Self_.Id_;
+    Message Outgoing;
+    Outgoing.To_ = Entries_[To]->Self_.Id_;
     switch (below(3)) {
     case 0:
-      Out.Statement_ = One.Ledger_.releaseStatement();
+      Outgoing.Statement_ = One.Ledger_.releaseStatement();
       break;
     case 1: {
       const auto Loans =
@@ -213,7 +214,7 @@
                            Now_ + std::chrono::seconds(1 + below(9)));
       if (Loans.empty())
         return;
-      Out.Loan_ = Loans[0];
+      Outgoing.Loan_ = Loans[0];
       break;
     }
     default:
@@ -221,10 +222,11 @@
         Network_.push_back({Id.Lender_, {}, {}, Id});
       return;
     }
-    Network_.push_back(std::move(Out));
+    Network_.push_back(std::move(Outgoing));
   }
 
-  /// Delivers any message; often it stays in the network and comes again.
+  /// Delivers a random message. One in three stays in the network and may be
+  /// delivered again.
   void deliver() {
     if (Network_.empty())
       return;
@@ -253,7 +255,7 @@
   std::uint32_t Limit_ = 4;
   std::uint64_t NextName_ = 0;
   std::vector<std::unique_ptr<Entry>> Entries_;
-  std::vector<Running> Orphans_;
+  std::vector<Running> RunningAtCrashed_;
   std::deque<Message> Network_;
 };
 
--- a/src/limits/tests/unitledgertest.cpp
+++ b/src/limits/tests/unitledgertest.cpp
@@ -57,9 +57,8 @@
   }
 }
 
-// The team's limit is raised, then a join moves units. The joiner's caller
-// waits: work still runs on a moved unit at its old owner, and the limit would
-// be passed if both used it.
+// A join moves units whose work still runs at the old owner. Guards against the
+// new member using them too early, which would exceed the limit.
 BOOST_AUTO_TEST_CASE(JoinerWaitsForReleaseAtItsOwnView) {
   const View First = viewOf({"a"});
   UnitLedger A = ledgerAt(First, "a", 20);
@@ -69,7 +68,7 @@
   const SubjectIndex Index = *B.find(Team);
   BOOST_TEST(B.counts(Index).Owned_ > 0u);
   BOOST_TEST(takeAll(B).empty());
-  // A statement that was given before the join says nothing of it.
+  // A statement made before the join does not cover the moved units.
   B.applyReleaseStatement(A.releaseStatement());
   BOOST_TEST(takeAll(B).empty());
   A.adoptView(Second, Start);
@@ -82,9 +81,8 @@
   BOOST_TEST(takeAll(A).size() + B.counts(Index).Owned_ == 20u);
 }
 
-// An entry is killed with work on its endpoints. Its units are idle until the
-// last task lease that it could have given has ended, since the endpoints may
-// be running that work still.
+// An entry is killed while its endpoints run work. Its units must stay unused
+// until the last task lease that it could have granted has expired.
 BOOST_AUTO_TEST_CASE(UnitsOfALostEntryWaitForItsTaskLeases) {
   const View First = viewOf({"a", "b"});
   UnitLedger A = ledgerAt(First, "a", 20);
@@ -96,9 +94,9 @@
   BOOST_TEST(takeAll(A).size() == 20u - Before);
 }
 
-// A borrower was paused with an unused loan. The lender has counted the unit
-// as its own again; the borrower must find the loan dead when it wakes.
-BOOST_AUTO_TEST_CASE(LoanIsDeadForTheBorrowerBeforeTheLenderReusesIt) {
+// A borrower is paused while it holds an unused loan. The loan must expire for
+// the borrower before the lender reuses the unit.
+BOOST_AUTO_TEST_CASE(LoanExpiresForTheBorrowerBeforeTheLenderReusesIt) {
   const View Current = viewOf({"a", "b"});
   UnitLedger A = ledgerAt(Current, "a", 20);
   UnitLedger B = ledgerAt(Current, "b", 20);
@@ -115,9 +113,9 @@
   BOOST_TEST(A.acquire(Index, Start + 9s, Start + 6s).has_value());
 }
 
-// The grant of a loan is delivered twice, the second time after the loan was
-// returned and its unit given to other work.
-BOOST_AUTO_TEST_CASE(RepeatedGrantDoesNotReviveAReturnedLoan) {
+// The grant of a loan is delivered again after the loan was returned. It must
+// not reactivate the loan, since the lender may already reuse the unit.
+BOOST_AUTO_TEST_CASE(RepeatedGrantDoesNotReactivateAReturnedLoan) {
   const View Current = viewOf({"a", "b"});
   UnitLedger A = ledgerAt(Current, "a", 20);
   UnitLedger B = ledgerAt(Current, "b", 20);
@@ -147,9 +145,9 @@
     BOOST_TEST(Held.Unit_.value() < 3u);
 }
 
-// A member said at one view that it holds nothing back. The next view takes
-// more units from it while they are running; what it said before is about
-// units that it had lost by then, and must not free these.
+// A member states at one view that it holds no moved units. The next view moves
+// more units away from it while they are in use. The earlier statement must not
+// release these.
 BOOST_AUTO_TEST_CASE(StatementOfAnEarlierViewFreesNothingLater) {
   const View First = viewOf({"a", "b"});
   UnitLedger A = ledgerAt(First, "a", 20);
--- a/src/limits/unitledger.h
+++ b/src/limits/unitledger.h
@@ -8,78 +8,84 @@
 
 namespace laburnumspread::limits {
 
-/// One entry's part of all upper limits.
+/// Tracks the units of all upper limits that one entry owns, uses, lends and
+/// borrows.
 ///
-/// Each unit of a limit has one owner at each view: the rendezvous-hash winner
-/// over the view's owners. The owner uses the unit or lends it; nobody else
-/// does. When a view moves a unit, the new owner waits until every earlier
-/// owner has released it at that very view, or, for a removed one, until the
-/// last task lease that it could have given has ended. Pure: no I/O, time is
-/// passed in.
+/// At each view every unit has exactly one owner, chosen by rendezvous hashing
+/// over the owners of the view. Only the owner may use the unit or lend it.
+/// When a view moves a unit, the new owner waits until every earlier owner has
+/// released it at that same view. If an earlier owner was removed, it waits
+/// until the last task lease that owner could have granted has expired.
+///
+/// Does no I/O; the current time is passed in.
 class UnitLedger {
 public:
   explicit UnitLedger(MemberId Self);
   ~UnitLedger();
   UnitLedger(UnitLedger &&) noexcept;
 
-  /// Takes a view; one with a lower number than the present is left aside.
+  /// Adopts a view. Ignores a view with a lower number than the current one.
   void adoptView(const membership::View &Next, TimePoint Now);
 
-  /// Sets the upper limit. A lower limit binds new work at once; running work
-  /// goes on and is counted until it ends.
+  /// Sets the upper limit of a subject, adding the subject if it is new. A
+  /// lower limit applies to new work at once. Running work continues and stays
+  /// counted until it ends.
   SubjectIndex setLimit(const SubjectName &Subject, std::uint32_t Limit);
+  /// Returns nullopt if no limit was ever set for the subject.
   std::optional<SubjectIndex> find(const SubjectName &Subject) const;
 
-  /// Takes a unit of the entry's own or a borrowed one that lasts until
-  /// \p Until. Empty when none is free.
+  /// Takes a free owned unit, or else a borrowed one whose loan lasts at least
+  /// until \p Until. Returns nullopt if neither is available.
   std::optional<Permit> acquire(SubjectIndex Subject, TimePoint Until,
                                 TimePoint Now);
   void release(const Permit &Held);
 
-  /// Whether acquire() would give a permit.
+  /// Whether acquire() would return a permit.
   bool hasFree(SubjectIndex Subject, TimePoint Until, TimePoint Now) const;
-  /// Own units that are neither used nor lent.
+  /// Number of owned units that are neither in use nor lent out.
   std::uint32_t freeOwnedUnits(SubjectIndex Subject) const;
 
-  /// As freeOwnedUnits(), with idle borrowed units.
+  /// freeOwnedUnits() plus the borrowed units that are not in use.
   std::uint32_t idleUnits(SubjectIndex Subject) const;
 
-  /// Lends up to \p Count free units. They count as used until they are
-  /// returned or \p Until and the clock skew margin have passed.
+  /// Lends up to \p Count free owned units. They count as used until they are
+  /// returned or until \p Until plus the clock skew margin has passed.
   std::vector<Loan> lend(SubjectIndex Subject, const MemberId &Borrower,
                          std::uint32_t Count, TimePoint Until);
-  /// A borrower gives a loan back. Unknown loans are left aside.
+  /// Takes back a loan that its borrower has returned. Ignores unknown loans.
   void acceptReturn(const LoanId &Loan);
 
-  /// A loan has arrived. Dead, repeated and already returned ones are left
-  /// aside.
+  /// Adds a loan granted by another member. Ignores loans that have expired,
+  /// are already known, or were already returned.
   void acceptLoan(const Loan &Granted, TimePoint Now);
-  /// Takes out idle loans that nobody has used since \p IdleSince, to be
-  /// returned to their lenders.
+  /// Removes the loans that have been idle since \p IdleSince or earlier. The
+  /// caller returns them to their lenders.
   std::vector<LoanId> removeIdleLoans(TimePoint IdleSince);
-  /// Takes out one idle loan of a subject, whatever its age.
+  /// Removes all idle loans of a subject, however recently they were used.
   std::vector<LoanId> removeAllIdleLoans(SubjectIndex Subject);
 
-  /// What this entry says at its present view.
+  /// The release statement of this entry at its current view.
   ReleaseStatement releaseStatement() const;
-  /// Another member's statement. Only one given at this entry's own view
-  /// counts: one of an earlier view knows nothing of later moves.
+  /// Applies another member's statement. Ignores a statement made at a view
+  /// other than this entry's, since it does not cover the same moves.
   void applyReleaseStatement(const ReleaseStatement &Statement);
 
-  /// Ends loans and waits that have run out.
+  /// Expires loans, and unblocks units of removed members whose task leases
+  /// have expired.
   void tick(TimePoint Now);
 
-  /// Who owns how many units of a subject at the present view.
+  /// The number of units that each member owns at the current view.
   std::vector<OwnedUnits> ownersOf(SubjectIndex Subject) const;
 
   ViewNumber view() const;
   SubjectCounts counts(SubjectIndex Subject) const;
   std::size_t subjectCount() const;
   const SubjectName &nameOf(SubjectIndex Subject) const;
-  /// Units in use or lent on a subject, whoever owns them now.
+  /// Number of units of a subject that this entry uses or has lent out,
+  /// whoever owns them at the current view. Borrowed units are not counted.
   std::uint32_t busyUnits(SubjectIndex Subject) const;
-  /// All units in use by this entry with its own or borrowed right, for the
-  /// invariant "no unit is held twice".
+  /// All owned and borrowed units that this entry's work is using. Used to
+  /// check the invariant that no unit is held twice.
   std::vector<HeldUnit> unitsInUse() const;
 
 private:
