--- a/src/idempotency/idempotencytypes.h
+++ b/src/idempotency/idempotencytypes.h
@@ -16,63 +16,69 @@
 using membership::MemberId;
 using membership::ViewNumber;
 
-/// Time from its minting in which a key may be used. Records are kept a little
-/// longer, so that a key is refused everywhere before its record is forgotten.
+/// How long a key may be used after it was created. Records are kept a little
+/// longer, so every entry refuses a key before its record is dropped.
 constexpr Duration KeyWindow = std::chrono::minutes(15);
 
-/// Answers up to this size are kept with the record and given again to a
-/// repeated request; of larger ones only the outcome is.
+/// Responses of up to this many bytes are stored with the record and replayed
+/// to a repeated request. Of a larger response only the outcome is stored.
 constexpr std::size_t MaxStoredResponseBytes = 4 * 1024;
 
-/// A caller's idempotency key: a UUID of version 7.
+/// A caller's idempotency key, a UUID of version 7.
 struct IdempotencyKey {
   std::string Text_;
-  /// When the caller minted it, as the UUID says.
+  /// Creation time encoded in the UUID, to the millisecond.
   TimePoint MintedAt_{};
 };
 
-/// Reads the canonical text form. Empty when it is no UUID of version 7.
+/// Parses the canonical text form, in either case. Returns nullopt if the text
+/// is not a UUID of version 7.
 std::optional<IdempotencyKey> parseIdempotencyKey(std::string_view Text);
 
 enum class KeyAge { Usable, TooOld, FromTheFuture };
+/// Classifies the age of a key. A key counts as from the future only if it was
+/// created more than the clock skew margin after \p Now.
 KeyAge ageOf(const IdempotencyKey &Key, TimePoint Now);
 
-/// Names a record. Two teams that choose the same key never see each other's.
+/// Identifies a record by workspace and key, so that two workspaces that choose
+/// the same key never share a record.
 using RecordName = framework::ids::StrongName<struct RecordNameTag>;
 RecordName recordName(const fleet::TeamName &Team, const IdempotencyKey &Key);
 
-/// One try of one entry to run a request; never used again.
+/// One attempt of one entry to run a request. Never reused.
 struct AttemptId {
   MemberId Entry_;
   std::uint64_t Sequence_ = 0;
   auto operator<=>(const AttemptId &) const = default;
 };
 
-/// An endpoint's answer that is kept with its record.
+/// An endpoint's response as stored with the record.
 struct StoredResponse {
   int Status_ = 0;
   std::string ContentType_;
   std::string Body_;
-  /// Whether Body_ is the whole answer.
+  /// Whether Body_ is the complete body.
   bool Complete_ = false;
 };
 
 enum class RecordState {
-  /// An attempt may dispatch, or has.
+  /// An attempt has reserved the key and may have dispatched the request.
   Reserved,
-  /// It ran and was answered.
+  /// The request ran and its response arrived.
   Ran,
-  /// It was dispatched and its answer was lost.
+  /// The request was dispatched and its response was lost.
   Unknown
 };
 
+/// What is known of the request sent under one key.
 struct Record {
   AttemptId Attempt_;
   RecordState State_ = RecordState::Reserved;
-  /// The request is over by then, whether its answer is known or not.
+  /// The request has ended by this time, whether or not its outcome is known.
   TimePoint LeaseUntil_{};
   TimePoint ForgetAfter_{};
-  /// Hash of what was asked, to tell a repeat from a key used twice.
+  /// Hash of the request. Tells a repeated request from another request that
+  /// reuses the key.
   std::uint64_t Fingerprint_ = 0;
   StoredResponse Response_;
 };
@@ -82,16 +88,17 @@
   Record Record_;
 };
 
-/// Part of all keys; each has its own three homes.
+/// A partition of the keys. Each bucket has its own set of replicas.
 using Bucket = framework::ids::StrongNumber<struct BucketTag, std::uint32_t>;
 constexpr std::uint32_t BucketCount = 128;
 Bucket bucketOf(const RecordName &Name);
 
-/// Homes that must agree, out of \p Replicas.
+/// Size of a majority of \p Replicas replicas.
 constexpr std::size_t quorumOf(std::size_t Replicas) {
   return Replicas / 2 + 1;
 }
 
+/// Asks a replica to reserve a key for an attempt.
 struct ReserveRequest {
   RecordName Name_;
   TimePoint MintedAt_{};
@@ -102,14 +109,15 @@
 };
 
 enum class ReserveResult {
+  /// The key was free, or was already reserved by this attempt.
   Reserved,
-  /// A record of another attempt is there.
+  /// Another attempt has a record under the key.
   Duplicate,
-  /// The home does not have its records yet.
+  /// The replica is not ready: it has not copied its records yet.
   NotReady,
-  /// The home is at another view.
+  /// The replica is at another view than the request.
   ViewMismatch,
-  /// Records of the time when the key was minted are lost.
+  /// Records from the time when the key was created may be lost.
   RecordsLost
 };
 
@@ -117,12 +125,11 @@
   MemberId From_;
   AttemptId Attempt_;
   ReserveResult Result_ = ReserveResult::NotReady;
-  /// With Duplicate.
+  /// The existing record. Set only if Result_ is Duplicate.
   Record Found_;
 };
 
-/// Asks for the records of a bucket by a home that has become one at
-/// \p Since_.
+/// Asks a replica of the view before Since_ for the records of a bucket.
 struct CopyRequest {
   MemberId From_;
   MemberId Source_;
@@ -130,13 +137,20 @@
   ViewNumber Since_;
 };
 
-enum class CopyResult { Copied, NotReady, Unavailable };
+enum class CopyResult {
+  Copied,
+  /// The source is at an earlier view or is not ready yet. Ask again.
+  NotReady,
+  /// The source has no complete set of records and will not get one.
+  Unavailable
+};
 
 struct CopyReply {
   MemberId Source_;
   Bucket Bucket_;
   ViewNumber Since_;
   CopyResult Result_ = CopyResult::NotReady;
+  /// Records of keys created before this time may be missing.
   TimePoint RecordsLostBefore_{};
   std::vector<NamedRecord> Records_;
 };
--- a/src/idempotency/internal/replicatable.cpp
+++ b/src/idempotency/internal/replicatable.cpp
@@ -26,11 +26,13 @@
   return std::find(In.begin(), In.end(), Id) != In.end();
 }
 
-/// What a home still has to copy before it is ready.
+/// The copies that a replica needs before it is ready.
 struct CatchUp {
+  /// Replicas of the previous view.
   std::vector<MemberId> Sources_;
   ViewNumber Since_;
   std::set<MemberId> Copied_;
+  /// Sources that cannot provide a copy.
   std::set<MemberId> Unavailable_;
 };
 
@@ -38,15 +40,15 @@
   std::vector<MemberId> Replicas_;
   bool IsReplica_ = false;
   bool Ready_ = false;
-  /// Last view at which this entry was a ready home.
+  /// Last view at which this entry was a ready replica.
   ViewNumber LastReadyView_;
   CatchUp CatchUp_;
-  /// Keys minted before this may have records that are lost.
+  /// Records of keys created before this time may be lost.
   TimePoint RecordsLostBefore_{};
   std::unordered_map<RecordName, Record> Records_;
 };
 
-/// A final state says more than a reservation.
+/// Replaces a reservation by \p From. A final state is never replaced.
 void mergeRecord(Record &Into, const Record &From) {
   if (Into.State_ == RecordState::Reserved)
     Into = From;
@@ -66,7 +68,8 @@
   View View_;
   std::vector<BucketState> Buckets_;
 
-  /// Applies the change from homes \p Before to homes \p After at view \p At.
+  /// Applies a change of a bucket's replicas from \p Before to \p After at view
+  /// \p At.
   void applyReplicaChange(BucketState &Item,
                           const std::vector<MemberId> &Before,
                           const std::vector<MemberId> &After, ViewNumber At) {
@@ -74,8 +77,8 @@
     const bool WasReplica = contains(Before, Self_);
     Item.Replicas_ = After;
     Item.IsReplica_ = contains(After, Self_);
-    // With fewer homes a smaller majority decides, which may consist of the
-    // one home that lacks a key. So every home copies again.
+    // With fewer replicas a majority is smaller and may consist of the one
+    // replica that lacks a key, so every replica copies again.
     const bool Fewer = After.size() < Before.size();
     if (!Item.IsReplica_) {
       Item.Ready_ = false;
@@ -88,8 +91,8 @@
     }
   }
 
-  /// Walks through all views between the present one and \p Next, since a home
-  /// stays ready only if it was one at each of them.
+  /// Applies all views after the current one up to \p Next in order, since a
+  /// replica stays ready only if it was one at each of them.
   void applyViewsThrough(const View &Next) {
     std::vector<std::pair<ViewNumber, Ownership>> Steps;
     const bool Known = View_.Number_.value() > 0;
@@ -110,9 +113,10 @@
     }
   }
 
-  /// First view of this process. The oldest view that it is shown is settled:
-  /// its homes are ready, this entry among them only if it has just made the
-  /// first view of all. Returns the index of the next step.
+  /// Initializes a bucket from the first view that this process adopts. The
+  /// oldest view in it is settled, so its replicas are ready. This entry is
+  /// ready only if it has just created the very first view. Returns the index
+  /// of the next view to apply.
   std::size_t initializeBucket(BucketState &Item,
                                std::vector<MemberId> Replicas,
                                const View &Next) {
@@ -122,7 +126,7 @@
     return 1;
   }
 
-  /// Sources that may still give a copy.
+  /// Number of sources that have provided a copy or may still do so.
   std::size_t availableSources(const BucketState &Item) const {
     return std::count_if(Item.CatchUp_.Sources_.begin(),
                          Item.CatchUp_.Sources_.end(), [&](const MemberId &Id) {
@@ -140,16 +144,16 @@
         Item.Ready_ = true;
       else if (availableSources(Item) < Need &&
                Copied == availableSources(Item)) {
-        // A majority of the former homes is lost for good, and with it maybe
-        // the only records of some keys. Refusing those for ever would stop
-        // all work; answering Fresh would run them twice.
+        // A majority of the former replicas is permanently lost, possibly with
+        // the only records of some keys. Staying not ready would stop all work,
+        // and reserving those keys again could run their requests twice.
         Item.Ready_ = true;
         Item.RecordsLostBefore_ = Now + ClockSkewMargin;
       }
     }
     if (Item.IsReplica_ && Item.Ready_)
       Item.LastReadyView_ = View_.Number_;
-    // Nobody asks a former home once the view is settled.
+    // Former replicas are not asked for copies once the view is settled.
     if (!Item.IsReplica_ && View_.settled())
       Item.Records_.clear();
   }
@@ -196,13 +200,13 @@
     Reply.Result_ = ReserveResult::RecordsLost;
     return Reply;
   }
-  Record Created;
-  Created.Attempt_ = Request.Attempt_;
-  Created.LeaseUntil_ = Request.LeaseUntil_;
-  Created.ForgetAfter_ =
+  Record NewRecord;
+  NewRecord.Attempt_ = Request.Attempt_;
+  NewRecord.LeaseUntil_ = Request.LeaseUntil_;
+  NewRecord.ForgetAfter_ =
       std::max(Request.MintedAt_ + KeyWindow, Now) + 3 * ClockSkewMargin;
-  Created.Fingerprint_ = Request.Fingerprint_;
-  Item.Records_.emplace(Request.Name_, std::move(Created));
+  NewRecord.Fingerprint_ = Request.Fingerprint_;
+  Item.Records_.emplace(Request.Name_, std::move(NewRecord));
   return Reply;
 }
 
@@ -243,8 +247,8 @@
   Reply.Source_ = S.Self_;
   Reply.Bucket_ = Request.Bucket_;
   Reply.Since_ = Request.Since_;
-  // Before it takes the new view this entry may still reserve keys under the
-  // old one, and the copy would lack them.
+  // Until it adopts the new view this entry may still reserve keys under the
+  // old one, which the copy would lack.
   if (S.View_.Number_ < Request.Since_)
     return Reply;
   if (Item.LastReadyView_.next() < Request.Since_) {
--- a/src/idempotency/replicatable.h
+++ b/src/idempotency/replicatable.h
@@ -6,42 +6,50 @@
 
 namespace laburnumspread::idempotency {
 
-/// The records that one entry keeps as a home of keys.
+/// The idempotency records that one entry holds as a replica.
 ///
-/// A key has three homes in different zones (fewer if there are fewer zones).
-/// An attempt may dispatch once most of them have answered Reserved under one
-/// view. At every view at most one ready home lacks a dispatched key, so any
-/// two ready homes find it. A home is ready if it was one at the view before,
-/// or once it has copied the records from most of the homes of the view
-/// before, each of which was ready and had taken the new view, and so took no
-/// more reservations under the old one. Pure: no I/O, time is passed in.
+/// Each key has three replicas in different zones, or fewer if there are fewer
+/// zones. An attempt may dispatch once a majority of them has answered Reserved
+/// under one view. At every view at most one ready replica lacks the record of
+/// a dispatched key, so any two ready replicas find it.
+///
+/// A replica is ready if it was one at the previous view, or once it has copied
+/// the records from a majority of the replicas of the previous view. Each of
+/// these must have been ready and have adopted the new view, so that it accepts
+/// no more reservations under the old one.
+///
+/// Does no I/O; the current time is passed in.
 class ReplicaTable {
 public:
   explicit ReplicaTable(MemberId Self);
   ~ReplicaTable();
   ReplicaTable(ReplicaTable &&) noexcept;
 
+  /// Adopts a view. Ignores a view with a lower number than the current one.
   void adoptView(const membership::View &Next, TimePoint Now);
 
   ReserveReply reserve(const ReserveRequest &Request, TimePoint Now);
-  /// Notes how an attempt ended. Makes the record if its reservation was lost.
+  /// Records how an attempt ended. Creates the record if the reservation never
+  /// arrived.
   void finish(const RecordName &Name, const Record &Final);
-  /// The attempt surely never left: its key may be used again.
+  /// Frees the key of an attempt that was certainly not dispatched.
   void abandon(const RecordName &Name, const AttemptId &Attempt);
 
-  /// Copies that are still wanted.
+  /// The copies that buckets of this entry still need to become ready.
   std::vector<CopyRequest> missingCopies() const;
   CopyReply handleCopyRequest(const CopyRequest &Request) const;
+  /// Adds the copied records. Ignores a reply that is no longer needed.
   void applyCopyReply(const CopyReply &Reply, TimePoint Now);
+  /// Number of buckets of which this entry is a replica that is not ready.
   std::uint64_t bucketsToCopy() const;
 
-  /// Forgets records whose keys are refused by now.
+  /// Drops records whose keys are refused as too old by now.
   void tick(TimePoint Now);
 
   ViewNumber view() const;
   std::size_t records() const;
-  /// Buckets of which this entry is a ready home that has lost records of
-  /// earlier keys.
+  /// Number of buckets of which this entry is a replica and in which records of
+  /// keys that are still usable may be lost.
   std::size_t bucketsWithLostRecords(TimePoint Now) const;
 
 private:
@@ -49,7 +57,7 @@
   std::unique_ptr<State> State_;
 };
 
-/// The homes of a bucket at a view.
+/// The replicas of a bucket at a view.
 std::vector<MemberId> replicasOf(const membership::View &Current, Bucket Of);
 
 } // namespace laburnumspread::idempotency
--- a/src/idempotency/reservationtally.h
+++ b/src/idempotency/reservationtally.h
@@ -6,31 +6,34 @@
 
 namespace laburnumspread::idempotency {
 
+/// Result of an attempt to reserve a key at its replicas.
 enum class ReservationOutcome {
   /// More replies are needed.
   Pending,
-  /// Most homes answered Reserved: the request may be dispatched.
+  /// A majority answered Reserved. The request may be dispatched.
   Granted,
-  /// Another attempt has the key; see found().
+  /// Another attempt has a record under the key; see found().
   Duplicate,
-  /// The homes cannot tell whether the key has run.
+  /// Records are lost, so whether a request ran under the key is not known.
   Unknown,
-  /// No majority can be had at this view; surely not run by this attempt.
+  /// No majority was reached at this view. This attempt was not dispatched.
   Retry
 };
 
-/// Counts the replies of one attempt's homes.
+/// Counts the replies of a key's replicas to one attempt.
 class ReservationTally {
 public:
   ReservationTally(AttemptId Attempt, std::vector<MemberId> Replicas);
 
-  /// Counts a reply. Replies of other attempts or from others than the homes,
-  /// and second replies of one home, count for nothing.
+  /// Counts a reply. Ignores replies to other attempts, replies from members
+  /// that are not replicas, and repeated replies of one replica.
   void add(const ReserveReply &Reply);
 
-  /// The verdict so far, or, once \p NoMoreReplies (no more replies will be
-  /// waited for), the final one, which is never Pending.
+  /// The outcome so far. With \p NoMoreReplies, meaning that the caller stops
+  /// waiting for replies, the final outcome, which is never Pending.
   ReservationOutcome outcome(bool NoMoreReplies) const;
+  /// The record of the other attempt. Valid if a replica answered Duplicate. A
+  /// final record takes precedence over a reservation.
   const Record &found() const { return Found_; }
 
 private:
--- a/src/idempotency/tests/replicamodeltest.cpp
+++ b/src/idempotency/tests/replicamodeltest.cpp
@@ -16,9 +16,9 @@
 using namespace laburnumspread::membership;
 using namespace std::chrono_literals;
 
-// Callers send a few keys again and again to any entry, while messages are
-// lost, repeated, delayed and reordered, and entries pause, die, join and
-// leave. No key is dispatched twice, whatever happens.
+// Model test of several entries. Callers repeat a few keys at any entry while
+// messages are lost, duplicated, delayed and reordered, and entries pause,
+// crash, join and leave. No key may be dispatched twice.
 
 namespace {
 
@@ -164,12 +164,12 @@
   }
 
   void submit(Entry &One) {
-    // Time is part of the name: the keys of a phase are minted in it.
-    const auto Phase = (Now_ - Born_) / 2s;
+    // The key contains its phase, since its creation time is the phase's start.
+    const auto Phase = (Now_ - Start_) / 2s;
     ReserveRequest Request;
     Request.Name_ = RecordName("t/" + std::to_string(Phase) + "-" +
                                std::to_string(below(KeysInUse)));
-    Request.MintedAt_ = Born_ + Phase * 2s;
+    Request.MintedAt_ = Start_ + Phase * 2s;
     Request.Attempt_ = {One.Self_.Id_, ++NextAttempt_};
     Request.View_ = One.View_.Number_;
     Request.LeaseUntil_ = Now_ + 5s;
@@ -177,24 +177,24 @@
     One.Attempts_.push_back({Request.Name_, Request.Attempt_,
                              ReservationTally(Request.Attempt_, Replicas)});
     for (const MemberId &Replica : Replicas) {
-      Message Out;
-      Out.To_ = Replica;
-      Out.Reserve_ = Request;
-      Network_.push_back(std::move(Out));
+      Message Outgoing;
+      Outgoing.To_ = Replica;
+      Outgoing.Reserve_ = Request;
+      Network_.push_back(std::move(Outgoing));
     }
   }
 
   void askForCopies(Entry &One) {
-    for (const CopyRequest &Wanted : One.Replicas_->missingCopies()) {
+    for (const CopyRequest &Missing : One.Replicas_->missingCopies()) {
       if (below(4) == 0)
         continue;
-      Message Out;
-      Out.To_ = Wanted.Source_;
-      Out.Copy_ = Wanted;
-      Copies_.push_back(std::move(Out));
+      Message Outgoing;
+      Outgoing.To_ = Missing.Source_;
+      Outgoing.Copy_ = Missing;
+      Copies_.push_back(std::move(Outgoing));
     }
-    // Copies go by a network of their own, so that their number does not keep
-    // reservations from ever arriving.
+    // Copies use a separate queue, so that their number does not prevent
+    // reservations from arriving.
     while (!Copies_.empty()) {
       const Message Item = Copies_.front();
       Copies_.pop_front();
@@ -207,22 +207,22 @@
     for (Attempt &Item : One.Attempts_) {
       if (Item.Over_)
         continue;
-      const ReservationOutcome Said =
+      const ReservationOutcome Outcome =
           Item.Tally_.outcome(Final && below(2) == 0);
-      if (Said == ReservationOutcome::Pending)
+      if (Outcome == ReservationOutcome::Pending)
         continue;
       Item.Over_ = true;
-      if (Said == ReservationOutcome::Granted) {
+      if (Outcome == ReservationOutcome::Granted) {
         DispatchedTwice_ |= !Dispatched_.insert(Item.Name_).second;
         continue;
       }
       for (const MemberId &Replica :
            replicasOf(One.View_, bucketOf(Item.Name_))) {
-        Message Out;
-        Out.To_ = Replica;
-        Out.AbandonName_ = Item.Name_;
-        Out.Abandon_ = Item.Id_;
-        Network_.push_back(std::move(Out));
+        Message Outgoing;
+        Outgoing.To_ = Replica;
+        Outgoing.AbandonName_ = Item.Name_;
+        Outgoing.Abandon_ = Item.Id_;
+        Network_.push_back(std::move(Outgoing));
       }
     }
   }
@@ -247,19 +247,19 @@
       return;
     Entry &To = **At;
     if (Item.Reserve_) {
-      Message Out;
-      Out.To_ = Item.Reserve_->Attempt_.Entry_;
-      Out.Reply_ = To.Replicas_->reserve(*Item.Reserve_, Now_);
-      Network_.push_back(std::move(Out));
+      Message Outgoing;
+      Outgoing.To_ = Item.Reserve_->Attempt_.Entry_;
+      Outgoing.Reply_ = To.Replicas_->reserve(*Item.Reserve_, Now_);
+      Network_.push_back(std::move(Outgoing));
     }
     if (Item.Reply_)
       for (Attempt &One : To.Attempts_)
         One.Tally_.add(*Item.Reply_);
     if (Item.Copy_) {
-      Message Out;
-      Out.To_ = Item.Copy_->From_;
-      Out.Copied_ = To.Replicas_->handleCopyRequest(*Item.Copy_);
-      Copies_.push_back(std::move(Out));
+      Message Outgoing;
+      Outgoing.To_ = Item.Copy_->From_;
+      Outgoing.Copied_ = To.Replicas_->handleCopyRequest(*Item.Copy_);
+      Copies_.push_back(std::move(Outgoing));
     }
     if (Item.Copied_)
       To.Replicas_->applyCopyReply(*Item.Copied_, Now_);
@@ -267,8 +267,8 @@
       To.Replicas_->abandon(*Item.AbandonName_, Item.Abandon_);
   }
 
-  const TimePoint Born_{1000h};
-  TimePoint Now_ = Born_;
+  const TimePoint Start_{1000h};
+  TimePoint Now_ = Start_;
   std::mt19937_64 Random_;
   View View_;
   std::uint64_t NextName_ = 0;
@@ -293,6 +293,6 @@
     Dispatched += Model.dispatched();
   });
   BOOST_TEST(Holds);
-  // A model in which nothing runs would prove nothing.
+  // Checks that the model dispatches requests at all.
   BOOST_TEST(Dispatched > 100u);
 }
--- a/src/idempotency/tests/replicatabletest.cpp
+++ b/src/idempotency/tests/replicatabletest.cpp
@@ -73,15 +73,15 @@
   BOOST_TEST((A.reserve(Second, Start).Result_ == ReserveResult::Reserved));
 }
 
-// A home in the caller's zone is replaced by an entry that has just joined and
-// knows no keys. Until it has copied them it must not vote: with one former
-// home that was hung it would make a majority that has never seen the order.
-BOOST_AUTO_TEST_CASE(NewHomeVotesOnlyAfterCopyingFromAMajority) {
+// A replica is replaced by an entry that has just joined and has no records. It
+// must not vote before it has copied them: together with a replica that missed
+// the reservation it would form a majority that lacks the key.
+BOOST_AUTO_TEST_CASE(NewReplicaVotesOnlyAfterCopyingFromAMajority) {
   const View First = viewOfThreeZones();
   std::vector<ReplicaTable> Old;
   for (const Member &Item : First.Members_)
     Old.push_back(tableAt(First, Item));
-  // The order was reserved at a and b; c was hung.
+  // The key was reserved at a and b; c did not receive the request.
   Old[0].reserve(requestAt(First, "x"), Start);
   Old[1].reserve(requestAt(First, "x"), Start);
   const View Second = *withRemoved(First, First.Members_[0].Id_, Start);
@@ -89,19 +89,19 @@
   ReplicaTable D = tableAt(Third, Third.Members_.back());
   const ReserveRequest Again = requestAt(Third, "y");
   BOOST_TEST((D.reserve(Again, Start).Result_ == ReserveResult::NotReady));
-  // c has not taken the view: it may still reserve keys under the old one.
-  for (const CopyRequest &Wanted : D.missingCopies())
-    if (Wanted.Source_ == First.Members_[2].Id_)
-      D.applyCopyReply(Old[2].handleCopyRequest(Wanted), Start);
+  // c has not adopted the view and may still reserve keys under the old one.
+  for (const CopyRequest &Missing : D.missingCopies())
+    if (Missing.Source_ == First.Members_[2].Id_)
+      D.applyCopyReply(Old[2].handleCopyRequest(Missing), Start);
   BOOST_TEST((D.reserve(Again, Start).Result_ == ReserveResult::NotReady));
   for (int Round = 0; Round < 3; ++Round)
     for (int I : {1, 2}) {
       Old[I].adoptView(Third, Start);
-      for (const CopyRequest &Wanted : Old[I].missingCopies())
-        Old[I].applyCopyReply(Old[3 - I].handleCopyRequest(Wanted), Start);
-      for (const CopyRequest &Wanted : D.missingCopies())
-        if (Wanted.Source_ == Old[I].handleCopyRequest(Wanted).Source_)
-          D.applyCopyReply(Old[I].handleCopyRequest(Wanted), Start);
+      for (const CopyRequest &Missing : Old[I].missingCopies())
+        Old[I].applyCopyReply(Old[3 - I].handleCopyRequest(Missing), Start);
+      for (const CopyRequest &Missing : D.missingCopies())
+        if (Missing.Source_ == Old[I].handleCopyRequest(Missing).Source_)
+          D.applyCopyReply(Old[I].handleCopyRequest(Missing), Start);
     }
   BOOST_TEST(D.bucketsToCopy() == 0u);
   BOOST_TEST((D.reserve(Again, Start).Result_ == ReserveResult::Duplicate));
@@ -109,9 +109,9 @@
       (Old[2].reserve(Again, Start).Result_ == ReserveResult::Duplicate));
 }
 
-// Two of three homes are lost at once. A caller repeats an order that only
-// they had on record, and hears "unknown", not a second lunch. Keys minted
-// after the loss work.
+// Two of three replicas are lost at once, with the only records of some keys. A
+// request repeated under an older key must not run again, since its outcome is
+// unknown. Keys created after the loss can be reserved.
 BOOST_AUTO_TEST_CASE(LossOfAMajorityMakesOlderKeysUnknown) {
   const View First = viewOfThreeZones();
   ReplicaTable C = tableAt(First, First.Members_[2]);
@@ -136,9 +136,10 @@
   BOOST_TEST(A.records() == 0u);
 }
 
-// An attempt counts its homes under its own view. A home at another view may
-// have handed the key's bucket on, or not have it yet, so it must not vote.
-BOOST_AUTO_TEST_CASE(HomeAtAnotherViewDoesNotVote) {
+// An attempt determines the replicas by its own view. A replica at another view
+// may have handed over the bucket or not have its records yet, so it must not
+// vote.
+BOOST_AUTO_TEST_CASE(ReplicaAtAnotherViewDoesNotVote) {
   const View First = viewOfThreeZones();
   ReplicaTable A = tableAt(First, First.Members_[0]);
   ReserveRequest Early = requestAt(First, "x");
@@ -150,36 +151,37 @@
   BOOST_TEST(A.records() == 0u);
 }
 
-// A former home is asked for its records before it has heard of the new view.
-// It goes on taking reservations under the old one, which the copy would lack.
-BOOST_AUTO_TEST_CASE(CopyIsGivenOnlyAfterTheNewViewIsTaken) {
+// A former replica is asked for its records before it has adopted the new view.
+// It still accepts reservations under the old one, which the copy would lack.
+BOOST_AUTO_TEST_CASE(CopyIsProvidedOnlyAfterTheNewViewIsAdopted) {
   const View First = viewOfThreeZones();
   const View Second = *withRemoved(First, First.Members_[0].Id_, Start);
   ReplicaTable B = tableAt(First, First.Members_[1]);
-  const CopyRequest Asked{First.Members_[2].Id_, First.Members_[1].Id_,
-                          bucketOf(Name), Second.Number_};
-  BOOST_TEST((B.handleCopyRequest(Asked).Result_ == CopyResult::NotReady));
+  const CopyRequest Request{First.Members_[2].Id_, First.Members_[1].Id_,
+                            bucketOf(Name), Second.Number_};
+  BOOST_TEST((B.handleCopyRequest(Request).Result_ == CopyResult::NotReady));
   B.adoptView(Second, Start);
-  BOOST_TEST((B.handleCopyRequest(Asked).Result_ == CopyResult::Copied));
+  BOOST_TEST((B.handleCopyRequest(Request).Result_ == CopyResult::Copied));
 }
 
-// An entry that has joined but not copied anything is asked for records by the
-// next newcomer. It has none to give, and must not count as a source.
-BOOST_AUTO_TEST_CASE(UnreadyHomeIsNoSource) {
+// An entry that has joined but has not copied its records yet is asked for them
+// by another new replica. An incomplete set of records must not count as a
+// copy.
+BOOST_AUTO_TEST_CASE(UnreadyReplicaIsNoSource) {
   const View First = viewOfThreeZones();
   const View Second = *withJoined(First, memberNamed("d", "z4"));
   ReplicaTable D = tableAt(Second, Second.Members_.back());
-  const auto Wanted = D.missingCopies();
-  BOOST_REQUIRE(!Wanted.empty());
-  CopyRequest Asked = Wanted[0];
-  Asked.From_ = First.Members_[0].Id_;
-  Asked.Since_ = Second.Number_.next();
+  const auto Missing = D.missingCopies();
+  BOOST_REQUIRE(!Missing.empty());
+  CopyRequest Request = Missing[0];
+  Request.From_ = First.Members_[0].Id_;
+  Request.Since_ = Second.Number_.next();
   D.adoptView(*withLeaving(Second, First.Members_[0].Id_), Start);
-  BOOST_TEST((D.handleCopyRequest(Asked).Result_ == CopyResult::NotReady));
+  BOOST_TEST((D.handleCopyRequest(Request).Result_ == CopyResult::NotReady));
 }
 
-// Records were lost once. A home that copies from one that knows of the loss
-// must know of it too, or it would call an older key fresh.
+// A replica copies from one that has lost records. It must take over the time
+// of the loss, or it would reserve an older key that may have run.
 BOOST_AUTO_TEST_CASE(LossOfRecordsIsPassedOnWithTheCopies) {
   const View First = viewOfThreeZones();
   View Lost = *withRemoved(First, First.Members_[0].Id_, Start);
@@ -189,8 +191,8 @@
   const View Joined = *withJoined(asSettled(Lost), memberNamed("d", "z1"));
   C.adoptView(Joined, Start + 10s);
   ReplicaTable D = tableAt(Joined, Joined.Members_.back());
-  for (const CopyRequest &Wanted : D.missingCopies())
-    D.applyCopyReply(C.handleCopyRequest(Wanted), Start + 10s);
+  for (const CopyRequest &Missing : D.missingCopies())
+    D.applyCopyReply(C.handleCopyRequest(Missing), Start + 10s);
   BOOST_TEST(D.bucketsToCopy() == 0u);
   BOOST_TEST((D.reserve(requestAt(Joined, "x"), Start + 10s).Result_ ==
               ReserveResult::RecordsLost));
--- a/src/idempotency/tests/reservationtallytest.cpp
+++ b/src/idempotency/tests/reservationtallytest.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(TwoOfThreeFreshGrant) {
+BOOST_AUTO_TEST_CASE(MajorityOfReservedRepliesGrants) {
   ReservationTally Tally = tallyOfThree();
   Tally.add(replyOf("x", ReserveResult::Reserved));
   BOOST_TEST((Tally.outcome(false) == ReservationOutcome::Pending));
@@ -36,7 +36,7 @@
   BOOST_TEST((Tally.outcome(false) == ReservationOutcome::Granted));
 }
 
-BOOST_AUTO_TEST_CASE(RepliesOfOthersCountForNothing) {
+BOOST_AUTO_TEST_CASE(UnrelatedRepliesAreIgnored) {
   ReservationTally Tally = tallyOfThree();
   Tally.add(replyOf("w", ReserveResult::Reserved));
   ReserveReply Late = replyOf("x", ReserveResult::Reserved);
@@ -45,7 +45,7 @@
   BOOST_TEST((Tally.outcome(true) == ReservationOutcome::Retry));
 }
 
-BOOST_AUTO_TEST_CASE(FinalRecordAnswersAtOnceAndWinsOverAReservation) {
+BOOST_AUTO_TEST_CASE(FinalRecordDecidesAtOnceAndOverridesAReservation) {
   ReservationTally Tally = tallyOfThree();
   Tally.add(replyOf("x", ReserveResult::Duplicate));
   BOOST_TEST((Tally.outcome(false) == ReservationOutcome::Pending));
@@ -54,7 +54,7 @@
   BOOST_TEST((Tally.found().State_ == RecordState::Ran));
 }
 
-BOOST_AUTO_TEST_CASE(LostRecordsMakeItUnknownNotFresh) {
+BOOST_AUTO_TEST_CASE(LostRecordsMakeTheOutcomeUnknown) {
   ReservationTally Tally = tallyOfThree();
   Tally.add(replyOf("x", ReserveResult::Reserved));
   Tally.add(replyOf("y", ReserveResult::RecordsLost));
