--- a/src/sharing/fleetusage.h
+++ b/src/sharing/fleetusage.h
@@ -9,40 +9,47 @@
 
 namespace laburnumspread::sharing {
 
+/// Number of running and waiting requests of one workspace.
 struct TeamUsage {
   std::uint32_t Running_ = 0;
   std::uint32_t Waiting_ = 0;
 };
 
-/// How many requests of each team run and wait in each pool over the whole
-/// fleet: counted here for this entry, heard from peers for the others.
+/// Number of requests of each workspace that run and wait in each pool over the
+/// whole fleet. Counts this entry's own requests; the others are reported by
+/// its peers.
 class FleetUsage {
 public:
+  /// Usage of one workspace in one pool, as reported by one entry.
   struct Row {
     PoolName Pool_;
     TeamName Team_;
     TeamUsage Usage_;
   };
 
-  /// Changes what is known of a peer, row by row.
+  /// Merges rows into those of a peer. A row of zeros removes one.
   void updatePeerRows(const MemberId &Peer, const std::vector<Row> &Rows);
-  /// Replaces what is known of a peer.
+  /// Replaces all rows of a peer.
   void replacePeerRows(const MemberId &Peer, const std::vector<Row> &Rows);
   void removePeer(const MemberId &Peer);
 
   void addRunning(const PoolName &Pool, const TeamName &Team, int By);
   void addWaiting(const PoolName &Pool, const TeamName &Team, int By);
 
-  /// Over the fleet.
+  /// Usage over the whole fleet.
   TeamUsage total(const PoolName &Pool, const TeamName &Team) const;
+  /// Usage over the whole fleet of every workspace that runs or waits in the
+  /// pool.
   const std::map<TeamName, TeamUsage> &totals(const PoolName &Pool) const;
-  /// Of this entry alone.
+  /// Rows of this entry alone.
   std::vector<Row> localRows() const;
-  /// At most \p MaxRows rows of this entry that have changed since they were
-  /// last taken, those with waiting requests first; one that has become empty
-  /// is given as zeros. The others stay for the next call.
+  /// Takes up to \p MaxRows rows of this entry that have changed since they
+  /// were last taken, rows with waiting requests first. A row that has become
+  /// empty is returned as zeros. Rows beyond the maximum stay for the next
+  /// call.
   std::vector<Row> takeChanged(std::size_t MaxRows);
-  /// Marks all rows as changed, so that a loss is made good in time.
+  /// Marks all rows of this entry as changed. Called periodically, so that
+  /// peers recover from lost updates.
   void markAllChanged();
 
 private:
--- a/src/sharing/internal/poolqueue.cpp
+++ b/src/sharing/internal/poolqueue.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Smaller is served first.
+/// Order in which requests are served, lowest first.
 struct Rank {
   int PriorityGroup_ = 0;
   double WeightedUsage_ = 0;
@@ -25,13 +25,13 @@
 constexpr int UrgentBelowShare = 0;
 constexpr int AllOthers = 1;
 
-/// What the rank of a team's requests depends on.
+/// Weight and running requests of a workspace, from which its rank follows.
 struct TeamState {
   double Weight_ = 1;
   double Running_ = 0;
 };
 
-/// Teams that run or wait in the pool, in the order of their names.
+/// Workspaces that run or wait in the pool, sorted by name.
 class ActiveTeams {
 public:
   explicit ActiveTeams(const ShareInputs &Inputs) {
@@ -40,11 +40,12 @@
     for (const auto &[Team, Use] : Totals) {
       const double Weight = std::max(1u, Inputs.Weight_(Team));
       Rows_.push_back({&Team, {Weight, static_cast<double>(Use.Running_)}});
-      Sum_ += Weight;
+      TotalWeight_ += Weight;
     }
   }
 
-  /// Found in a step if teams are asked for in the order of their names.
+  /// Looks up a workspace. Amortized constant time if workspaces are looked up
+  /// in the order of their names; call rewind() before going back.
   TeamState find(const TeamName &Team) {
     while (Next_ < Rows_.size() && *Rows_[Next_].Team_ < Team)
       ++Next_;
@@ -53,7 +54,7 @@
     return {};
   }
   void rewind() { Next_ = 0; }
-  double weight() const { return Sum_; }
+  double totalWeight() const { return TotalWeight_; }
 
 private:
   struct Row {
@@ -62,17 +63,18 @@
   };
   std::vector<Row> Rows_;
   std::size_t Next_ = 0;
-  double Sum_ = 0;
+  double TotalWeight_ = 0;
 };
 
-Rank rankOf(const TeamState &Of, RequestClass Class, TimePoint ArrivedAt,
-            double Active, const ShareInputs &Inputs) {
-  const double Weight = Of.Weight_;
-  const double Running = Of.Running_;
-  const double Share =
-      Active > 0 ? Inputs.PoolSlots_ * Weight / Active : Inputs.PoolSlots_;
-  // An urgent request goes first only within its team's share: otherwise one
-  // team could mark everything urgent and starve the rest.
+Rank rankOf(const TeamState &Team, RequestClass Class, TimePoint ArrivedAt,
+            double TotalWeight, const ShareInputs &Inputs) {
+  const double Weight = Team.Weight_;
+  const double Running = Team.Running_;
+  const double Share = TotalWeight > 0
+                           ? Inputs.PoolSlots_ * Weight / TotalWeight
+                           : Inputs.PoolSlots_;
+  // An urgent request goes first only within its workspace's share. Otherwise a
+  // workspace could mark all its requests urgent and starve the others.
   const bool GoesFirst = Class == RequestClass::Urgent && Running + 1 <= Share;
   return {GoesFirst ? UrgentBelowShare : AllOthers, Running / Weight, Class,
           ArrivedAt};
@@ -82,7 +84,7 @@
 
 absl::Status PoolQueue::push(Ticket Item) {
   if (Tickets_.size() >= Limit_)
-    return absl::ResourceExhaustedError("the queue holds its limit of " +
+    return absl::ResourceExhaustedError("the queue is full, its limit is " +
                                         std::to_string(Limit_));
   TeamQueue &Queue = Teams_[Item.Team_];
   const auto Class = static_cast<std::size_t>(Item.Class_);
@@ -98,8 +100,8 @@
     return false;
   const auto Team = Teams_.find(At->second.Team_);
   --Team->second.Count_[static_cast<std::size_t>(At->second.Class_)];
-  // Its place in the row is skipped later, so that a wave of cancellations
-  // costs the same for each.
+  // The id stays in its queue and is skipped later. Removing it here would make
+  // the cost of a cancellation grow with the length of the queue.
   Tickets_.erase(At);
   dropCancelled(Team->second);
   if (Team->second.total() == 0)
@@ -107,8 +109,8 @@
   return true;
 }
 
-void PoolQueue::dropCancelled(TeamQueue &Of) {
-  for (auto &Row : Of.ByClass_)
+void PoolQueue::dropCancelled(TeamQueue &Queue) {
+  for (auto &Row : Queue.ByClass_)
     while (!Row.empty() && !Tickets_.contains(Row.front()))
       Row.pop_front();
 }
@@ -141,8 +143,8 @@
                 [](const BorrowRequest &Row) { return Row.Count_ == 0; });
 }
 
-const Ticket *PoolQueue::head(const TeamQueue &Of) const {
-  for (const auto &Row : Of.ByClass_)
+const Ticket *PoolQueue::head(const TeamQueue &Queue) const {
+  for (const auto &Row : Queue.ByClass_)
     for (TicketId Id : Row)
       if (const auto At = Tickets_.find(Id); At != Tickets_.end())
         return &At->second;
@@ -157,23 +159,24 @@
     const Ticket *Head = head(Queue);
     if (!Head || !Inputs.MayStart_(Team))
       continue;
-    const Rank Candidate = rankOf(Active.find(Team), Head->Class_,
-                                  Head->ArrivedAt_, Active.weight(), Inputs);
+    const Rank Candidate =
+        rankOf(Active.find(Team), Head->Class_, Head->ArrivedAt_,
+               Active.totalWeight(), Inputs);
     if (Best && !(Candidate < *Best))
       continue;
     Best = Candidate;
     Chosen = *Head;
   }
-  for (const BorrowRequest &Wish : BorrowRequests_) {
-    if (Wish.ExpiresAt_ <= Inputs.Now_)
+  for (const BorrowRequest &Request : BorrowRequests_) {
+    if (Request.ExpiresAt_ <= Inputs.Now_)
       continue;
     Active.rewind();
-    const Rank Candidate = rankOf(Active.find(Wish.Team_), Wish.Class_,
-                                  Inputs.Now_, Active.weight(), Inputs);
+    const Rank Candidate = rankOf(Active.find(Request.Team_), Request.Class_,
+                                  Inputs.Now_, Active.totalWeight(), Inputs);
     if (Best && !(Candidate < *Best))
       continue;
     Best = Candidate;
-    Chosen = Wish;
+    Chosen = Request;
   }
   return Chosen;
 }
--- a/src/sharing/poolqueue.h
+++ b/src/sharing/poolqueue.h
@@ -12,54 +12,56 @@
 
 namespace laburnumspread::sharing {
 
-/// What the choice of the next request depends on.
+/// Inputs to the selection of the next request.
 struct ShareInputs {
   const FleetUsage &Usage_;
   const PoolName &Pool_;
   /// Slots of the whole pool.
   std::uint32_t PoolSlots_ = 0;
-  /// Weight of a team's share.
+  /// Weight of a workspace's share.
   std::function<std::uint32_t(const TeamName &)> Weight_;
-  /// Whether a team could start one more request at this entry now.
+  /// Whether a workspace can start another request at this entry now.
   std::function<bool(const TeamName &)> MayStart_;
   TimePoint Now_{};
 };
 
-/// Requests that wait for a slot of one pool at one entry, and the wishes of
-/// peers for the slots that this entry owns.
+/// Requests that wait at one entry for a slot of one pool, and the borrow
+/// requests of peers for the slots that this entry owns.
 ///
-/// The next slot goes to the team that is furthest below its weighted share
-/// over the fleet, to urgent requests of teams below their share before all
-/// others. Since the counts are the fleet's and a peer's waiting requests
-/// compete by wishes, the share does not depend on which entry a team's
-/// callers reach.
+/// Implements weighted fair sharing: the next slot goes to the workspace with
+/// the lowest usage for its weight over the whole fleet. Urgent requests of
+/// workspaces below their share go before all others. Usage is counted over the
+/// fleet and the waiting requests of peers compete through borrow requests, so
+/// a workspace's share does not depend on which entry its callers reach.
 class PoolQueue {
 public:
   explicit PoolQueue(std::uint32_t Limit) : Limit_(Limit) {}
 
   void setLimit(std::uint32_t Limit) { Limit_ = Limit; }
 
-  /// ResourceExhausted when the queue is full.
+  /// Adds a request. Returns ResourceExhausted if the queue is full.
   absl::Status push(Ticket Item);
-  /// Takes a request out. False if it does not wait here.
+  /// Removes a request. Returns false if it does not wait here.
   bool cancel(TicketId Id);
-  /// Takes out all requests whose deadline has passed.
+  /// Removes and returns all requests whose deadline has passed.
   std::vector<TicketId> expire(TimePoint Now);
 
-  /// Notes a peer's wish; it replaces the peer's former one for the team.
+  /// Adds a peer's borrow request. Replaces the peer's previous one for the
+  /// same workspace and class; a count of zero only removes it.
   void addBorrowRequest(const BorrowRequest &Item);
-  /// One slot was given to a wish.
+  /// Counts one slot as granted to a borrow request.
   void recordGrant(const BorrowRequest &Item);
 
-  /// Who should get the next free slot. A chosen ticket stays until cancel().
+  /// Selects who should get the next free slot. A selected ticket stays in the
+  /// queue until cancel().
   SlotRecipient selectNext(const ShareInputs &Inputs) const;
 
   std::size_t size() const { return Tickets_.size(); }
   std::uint32_t waiting(const TeamName &Team) const;
   std::uint32_t waiting(const TeamName &Team, RequestClass Class) const;
-  /// Teams that wait here.
+  /// Workspaces with requests that wait here.
   std::vector<TeamName> teams() const;
-  /// Oldest urgent request that has waited since before \p Since.
+  /// An urgent request that arrived at \p Since or earlier, or null.
   const Ticket *urgentWaitingSince(TimePoint Since) const;
 
 private:
@@ -69,8 +71,8 @@
     std::uint32_t total() const { return Count_[0] + Count_[1] + Count_[2]; }
   };
 
-  const Ticket *head(const TeamQueue &Of) const;
-  void dropCancelled(TeamQueue &Of);
+  const Ticket *head(const TeamQueue &Queue) const;
+  void dropCancelled(TeamQueue &Queue);
 
   std::uint32_t Limit_;
   std::unordered_map<TicketId, Ticket> Tickets_;
--- a/src/sharing/sharingtypes.h
+++ b/src/sharing/sharingtypes.h
@@ -15,9 +15,10 @@
 using framework::clock::TimePoint;
 using membership::MemberId;
 
-/// A request waiting at this entry.
+/// Identifies a request that waits at this entry.
 using TicketId = framework::ids::StrongNumber<struct TicketIdTag>;
 
+/// A request that waits at this entry for a slot.
 struct Ticket {
   TicketId Id_;
   TeamName Team_;
@@ -26,19 +27,20 @@
   TimePoint ArrivedAt_{};
 };
 
-/// A peer's wish for a slot of a pool, for a request that waits there.
+/// A peer's request to borrow slots of a pool for work that waits at the peer.
 struct BorrowRequest {
   MemberId From_;
   TeamName Team_;
   RequestClass Class_ = RequestClass::Normal;
   std::uint32_t Count_ = 0;
-  /// The slot is wanted until then.
+  /// End of the requested loans.
   TimePoint Until_{};
-  /// The wish itself lapses then; the peer repeats it while it holds.
+  /// When the borrow request itself expires. The peer repeats it as long as it
+  /// needs slots.
   TimePoint ExpiresAt_{};
 };
 
-/// Who gets the next free slot.
+/// Who gets the next free slot: nobody, a local request or a peer.
 using SlotRecipient = std::variant<std::monostate, Ticket, BorrowRequest>;
 
 } // namespace laburnumspread::sharing
--- a/src/sharing/tests/poolqueuetest.cpp
+++ b/src/sharing/tests/poolqueuetest.cpp
@@ -34,7 +34,7 @@
                               [](const TeamName &) { return true; }, Start});
   }
 
-  /// Starts what is chosen; returns its team.
+  /// Starts the selected request and returns its workspace.
   TeamName startNext() {
     const Ticket Chosen = std::get<Ticket>(choose());
     Queue_.cancel(Chosen.Id_);
@@ -58,8 +58,8 @@
   BOOST_TEST(Started[Small] == 10);
 }
 
-// One team floods the queue before another sends its first request. The
-// latecomer is below its share, so it does not stand behind the flood.
+// One workspace floods the queue before another sends its first request. The
+// second one is below its share and must be served first.
 BOOST_FIXTURE_TEST_CASE(FloodDoesNotDelayATeamBelowItsShare, Fixture) {
   for (int I = 0; I < 500; ++I)
     push(Big);
@@ -69,8 +69,8 @@
   BOOST_TEST(startNext() == Small);
 }
 
-// Most of the team's work runs at other entries. Its share is the fleet's, so
-// the requests that wait here stand back although none of it runs here.
+// Most work of a workspace runs at other entries. It must count against the
+// workspace's share here, although none of it runs at this entry.
 BOOST_FIXTURE_TEST_CASE(WorkAtPeersCountsAgainstTheShare, Fixture) {
   const MemberId Peer{EntryName("p"), Incarnation(1)};
   push(Big);
@@ -91,7 +91,7 @@
   BOOST_TEST(startNext() == Big);
 }
 
-BOOST_FIXTURE_TEST_CASE(BatchOfATeamWaitsForItsOtherWork, Fixture) {
+BOOST_FIXTURE_TEST_CASE(BatchRequestsFollowOtherRequestsOfTheirTeam, Fixture) {
   push(Big, RequestClass::Batch);
   const TicketId Normal = push(Big);
   BOOST_TEST(std::get<Ticket>(choose()).Id_ == Normal);
@@ -100,22 +100,22 @@
 BOOST_FIXTURE_TEST_CASE(PeerBelowShareIsServedBeforeOwnWaiters, Fixture) {
   Usage_.addRunning(Orders, Big, 30);
   push(Big);
-  BorrowRequest Wish;
-  Wish.From_ = {EntryName("p"), Incarnation(1)};
-  Wish.Team_ = Small;
-  Wish.Count_ = 1;
-  Wish.ExpiresAt_ = Start + 1s;
-  Queue_.addBorrowRequest(Wish);
+  BorrowRequest Request;
+  Request.From_ = {EntryName("p"), Incarnation(1)};
+  Request.Team_ = Small;
+  Request.Count_ = 1;
+  Request.ExpiresAt_ = Start + 1s;
+  Queue_.addBorrowRequest(Request);
   BOOST_TEST(std::holds_alternative<BorrowRequest>(choose()));
-  Queue_.recordGrant(Wish);
+  Queue_.recordGrant(Request);
   BOOST_TEST(std::holds_alternative<Ticket>(choose()));
-  Wish.ExpiresAt_ = Start;
-  Queue_.addBorrowRequest(Wish);
+  Request.ExpiresAt_ = Start;
+  Queue_.addBorrowRequest(Request);
   BOOST_TEST(std::holds_alternative<Ticket>(choose()));
 }
 
-// Nine tenths of a long queue are cancelled at once. The rest must be found
-// and counted rightly, whatever order the cancellations came in.
+// Nine tenths of a long queue are cancelled at once, last request first. The
+// remaining requests must keep their order and count.
 BOOST_FIXTURE_TEST_CASE(CancellationWaveLeavesTheRestInOrder, Fixture) {
   std::vector<TicketId> Ids;
   for (int I = 0; I < 1000; ++I)
@@ -129,7 +129,7 @@
   BOOST_TEST(std::get<Ticket>(choose()).Id_ == Ids[3]);
 }
 
-BOOST_FIXTURE_TEST_CASE(QueueIsBoundedAndHonoursDeadlines, Fixture) {
+BOOST_FIXTURE_TEST_CASE(QueueIsBoundedAndExpiresByDeadline, Fixture) {
   Queue_.setLimit(1);
   const TicketId Only = push(Big);
   Ticket Extra;
@@ -140,9 +140,9 @@
   BOOST_TEST(Queue_.size() == 0u);
 }
 
-// A peer tells only the rows that have changed. What it said before of other
-// teams stands, and a row of zeros takes one back.
-BOOST_FIXTURE_TEST_CASE(ChangedRowsLeaveTheOthersStanding, Fixture) {
+// A peer reports only the rows that have changed. Its other rows must stay, and
+// a row of zeros must remove one.
+BOOST_FIXTURE_TEST_CASE(ChangedRowsKeepTheOthers, Fixture) {
   const MemberId Peer{EntryName("p"), Incarnation(1)};
   Usage_.replacePeerRows(Peer,
                          {{Orders, Big, {30, 0}}, {Orders, Small, {5, 0}}});
@@ -159,9 +159,9 @@
   BOOST_TEST(Usage_.localRows().empty());
 }
 
-// More rows change than a heartbeat may carry. Those of full pools go first,
-// and none is forgotten.
-BOOST_FIXTURE_TEST_CASE(ChangedRowsBeyondTheBoundComeNextTime, Fixture) {
+// More rows change than a heartbeat may carry. Rows with waiting requests must
+// go first, and the others must follow later.
+BOOST_FIXTURE_TEST_CASE(ChangedRowsBeyondTheMaximumFollowLater, Fixture) {
   Usage_.addRunning(Orders, Big, 1);
   Usage_.addWaiting(Orders, Small, 1);
   const auto First = Usage_.takeChanged(1);
