--- a/src/routing/internal/endpointtable.cpp
+++ b/src/routing/internal/endpointtable.cpp
@@ -97,14 +97,14 @@
 }
 
 HealthChange EndpointTable::exchangeEnded(EndpointIndex Index,
-                                          ExchangeResult How,
+                                          ExchangeResult Result,
                                           std::uint32_t MaxEjectionPercent,
                                           TimePoint Now) {
   Endpoint &Row = Rows_[Index.value()];
   --Row.Running_;
-  if (How == ExchangeResult::Refused)
+  if (Result == ExchangeResult::Refused)
     return HealthChange::None;
-  if (How == ExchangeResult::Succeeded) {
+  if (Result == ExchangeResult::Succeeded) {
     Row.ConsecutiveFailures_ = 0;
     if (Row.Health_ == Health::Healthy)
       return HealthChange::None;
--- a/src/routing/retrybudget.h
+++ b/src/routing/retrybudget.h
@@ -6,20 +6,20 @@
 
 namespace laburnumspread::routing {
 
-/// Bounds retries to a part of the requests, so that a fault of many endpoints
-/// does not multiply the load on the others.
+/// Limits retries to a fraction of the requests, so that a fault of many
+/// endpoints does not multiply the load on the others.
 class RetryBudget {
 public:
-  /// Retries earned by each first try.
+  /// Retries added to the budget by each request.
   static constexpr double TokensPerRequest = 0.1;
-  /// Largest number of retries that can be saved up.
+  /// Maximum number of retries in the budget.
   static constexpr double MaxTokens = 10;
 
   void requestStarted() {
     Tokens_ = std::min(MaxTokens, Tokens_ + TokensPerRequest);
   }
 
-  /// Takes one retry. False when none is left.
+  /// Takes one retry from the budget. Returns false if none is left.
   bool tryConsume() {
     if (Tokens_ < 1)
       return false;
--- a/src/routing/runtimeestimates.h
+++ b/src/routing/runtimeestimates.h
@@ -8,23 +8,25 @@
 
 using framework::clock::Duration;
 
-/// Run times as they were seen, by team and pool. What callers declare is off
-/// by large factors; it is used for nothing here.
+/// Moving averages of observed run times, by workspace and pool. Run times
+/// declared by callers are not used, since they are wrong by large factors.
 class RunTimeEstimates {
 public:
-  /// Weight of the newest run time.
+  /// Weight of the newest run time in the exponential moving average.
   static constexpr double Smoothing = 0.1;
 
   void recordRunTime(const fleet::PoolName &Pool, const fleet::TeamName &Team,
                      Duration RunTime);
 
-  /// Mean run time in a pool over all teams; zero before anything was seen.
+  /// Mean run time in a pool over all workspaces. Zero before the first
+  /// observation.
   Duration meanRunTime(const fleet::PoolName &Pool) const;
+  /// Mean run time of a workspace in a pool. Zero before the first observation.
   Duration meanRunTime(const fleet::PoolName &Pool,
                        const fleet::TeamName &Team) const;
 
-  /// Time until a request that comes after \p Ahead others would start, in a
-  /// pool with \p Slots slots that are all busy.
+  /// Estimated time until a request starts that has \p Ahead requests before it
+  /// in a pool with \p Slots slots, all of them busy. Zero if \p Slots is zero.
   Duration estimatedWait(const fleet::PoolName &Pool, std::size_t Ahead,
                          std::uint32_t Slots) const;
 
--- a/src/routing/tests/endpointtabletest.cpp
+++ b/src/routing/tests/endpointtabletest.cpp
@@ -81,9 +81,9 @@
   BOOST_TEST(Table_.openSlots(Orders) == 0u);
 }
 
-// One endpoint answers at once, always with a failure. Being always free it
-// would draw most of the work; after a few failures it gets none, and comes
-// back by a single request.
+// An endpoint that fails every request at once is always free and would attract
+// most of the work. It must be ejected after a few failures and return through
+// probation with a single request.
 BOOST_FIXTURE_TEST_CASE(FastFailingEndpointIsEjectedAndReturnsByProbation,
                         Fixture) {
   const EndpointIndex Bad = declare(vmNamed("a", Near));
@@ -96,7 +96,7 @@
   BOOST_TEST(*choose() == Bad);
   Table_.exchangeStarted(Bad);
   BOOST_TEST(*choose() == Good);
-  // It fails again: the second ejection is longer.
+  // It fails its probation. The second ejection is longer.
   BOOST_TEST((Table_.exchangeEnded(Bad, ExchangeResult::Failed, HalfOfPool,
                                    Start + BaseEjectionTime) ==
               HealthChange::Ejected));
@@ -108,9 +108,9 @@
                                    Start + 20s) == HealthChange::Restored));
 }
 
-// Every endpoint fails, since what they all call is broken. Ejecting them all
-// would turn a partial fault into a whole one.
-BOOST_FIXTURE_TEST_CASE(EjectionStopsAtItsCap, Fixture) {
+// All endpoints fail because of a shared dependency. Ejecting all of them would
+// turn a partial outage into a complete one.
+BOOST_FIXTURE_TEST_CASE(EjectionStopsAtTheMaximumPercentage, Fixture) {
   for (const char *Name : {"a", "b", "c", "d"})
     declare(vmNamed(Name, Near));
   int Ejected = 0;
@@ -121,7 +121,7 @@
   BOOST_TEST(Table_.anyHealthy(Orders));
 }
 
-BOOST_FIXTURE_TEST_CASE(SizeThatFitsNowhereIsKnownAtOnce, Fixture) {
+BOOST_FIXTURE_TEST_CASE(SizeThatFitsNoEndpointIsDetected, Fixture) {
   declare(vmNamed("a", Near));
   const fleet::Size Huge{fleet::MilliCpus(1), fleet::Megabytes(1),
                          fleet::Accelerators(1)};
--- a/src/routing/tests/runtimeestimatestest.cpp
+++ b/src/routing/tests/runtimeestimatestest.cpp
@@ -7,23 +7,23 @@
 using namespace laburnumspread::routing;
 using namespace std::chrono_literals;
 
-BOOST_AUTO_TEST_CASE(EstimatesFollowWhatWasSeen) {
+BOOST_AUTO_TEST_CASE(EstimatesFollowObservedRunTimes) {
   const fleet::PoolName Pool("orders");
   const fleet::TeamName Team("a");
-  RunTimeEstimates Seen;
-  BOOST_TEST((Seen.estimatedWait(Pool, 100, 8) == 0us));
-  Seen.recordRunTime(Pool, Team, 100ms);
-  BOOST_TEST((Seen.meanRunTime(Pool, Team) == 100ms));
-  // The work becomes ten times longer than it was.
+  RunTimeEstimates Estimates;
+  BOOST_TEST((Estimates.estimatedWait(Pool, 100, 8) == 0us));
+  Estimates.recordRunTime(Pool, Team, 100ms);
+  BOOST_TEST((Estimates.meanRunTime(Pool, Team) == 100ms));
+  // Run times grow tenfold.
   for (int I = 0; I < 60; ++I)
-    Seen.recordRunTime(Pool, Team, 1s);
-  BOOST_TEST((Seen.meanRunTime(Pool, Team) > 990ms));
-  BOOST_TEST((Seen.estimatedWait(Pool, 80, 8) > 9900ms));
+    Estimates.recordRunTime(Pool, Team, 1s);
+  BOOST_TEST((Estimates.meanRunTime(Pool, Team) > 990ms));
+  BOOST_TEST((Estimates.estimatedWait(Pool, 80, 8) > 9900ms));
 }
 
-// Half of the endpoints fail everything. Without a budget each request would
-// be sent twice; with it the load grows by a tenth and a small constant.
-BOOST_AUTO_TEST_CASE(RetriesStayATenthOfTheRequests) {
+// Half of the requests fail. Without a budget each of them would be sent again.
+// With it the load grows by a tenth plus a small constant.
+BOOST_AUTO_TEST_CASE(RetriesStayWithinATenthOfTheRequests) {
   RetryBudget Budget;
   int Sent = 0;
   constexpr int Requests = 10'000;
