--- a/src/membership/internal/viewchanges.cpp
+++ b/src/membership/internal/viewchanges.cpp
@@ -21,8 +21,8 @@
   return Next;
 }
 
-auto findMember(View &Of, const MemberId &Id) {
-  return std::find_if(Of.Members_.begin(), Of.Members_.end(),
+auto findMember(View &In, const MemberId &Id) {
+  return std::find_if(In.Members_.begin(), In.Members_.end(),
                       [&](const Member &Item) { return Item.Id_ == Id; });
 }
 
@@ -105,9 +105,10 @@
 absl::StatusOr<View> withJoined(const View &Current, const Member &NewMember) {
   for (const Member &Item : Current.Members_)
     if (Item.Id_.Name_ == NewMember.Id_.Name_)
-      return absl::AlreadyExistsError("a run of this entry is in the view");
+      return absl::AlreadyExistsError(
+          "a run of this entry is already a member");
   if (Current.SettledThrough_ < Current.LastJoin_)
-    return absl::FailedPreconditionError("an earlier join is not settled");
+    return absl::FailedPreconditionError("an earlier join is not settled yet");
   View Next = nextView(Current);
   Next.Members_.push_back(NewMember);
   Next.LastJoin_ = Next.Number_;
--- a/src/membership/membershiptypes.h
+++ b/src/membership/membershiptypes.h
@@ -11,62 +11,65 @@
 using fleet::ZoneName;
 using framework::clock::TimePoint;
 
-/// Number of a view. Each change of the membership makes the next one.
+/// Number of a view. Each change of the membership increases it by one.
 using ViewNumber = framework::ids::StrongNumber<struct ViewNumberTag>;
 
-/// One run of one entry. A restarted entry is another member.
+/// Identifies one run of one entry. A restarted entry is a new member.
 struct MemberId {
   EntryName Name_;
   Incarnation Incarnation_;
   auto operator<=>(const MemberId &) const = default;
 };
 
+/// An entry in a view.
 struct Member {
   MemberId Id_;
   fleet::VmName Vm_;
   ZoneName Zone_;
   std::string PeerAddress_;
   std::string HttpAddress_;
-  /// A leaving member owns nothing any more but still hands over.
+  /// A leaving member owns nothing, but still hands over what it owned.
   bool Leaving_ = false;
   bool operator==(const Member &) const = default;
 };
 
-/// A member that may own units and records.
+/// A member that can own units and records.
 struct Owner {
   MemberId Id_;
   ZoneName Zone_;
   bool operator==(const Owner &) const = default;
 };
 
-/// The owners of an earlier view that is not settled yet.
+/// The owners of an earlier view whose transfers are not all complete.
 struct PastView {
   ViewNumber Number_;
   std::vector<Owner> Owners_;
   bool operator==(const PastView &) const = default;
 };
 
-/// A removed member. What it held may be used again after the last task lease
-/// that it could have given.
+/// A removed member. What it held may be reused once the last task lease that
+/// it could have granted has expired.
 struct DepartedMember {
   MemberId Id_;
   TimePoint ReusableAfter_{};
   bool operator==(const DepartedMember &) const = default;
 };
 
-/// The agreed list of entries.
+/// The membership that the entries have agreed on.
 struct View {
   ViewNumber Number_;
-  /// Everything that moved up to this view is in its new owner's hands.
+  /// All transfers of ownership up to this view are complete.
   ViewNumber SettledThrough_;
-  /// Last view that gave something to a new member.
+  /// Last view that added a member.
   ViewNumber LastJoin_;
   std::vector<Member> Members_;
   /// Views from SettledThrough_ to the one before this, oldest first.
   std::vector<PastView> Past_;
   std::vector<DepartedMember> DepartedMembers_;
 
+  /// Returns null if \p Id is not a member.
   const Member *find(const MemberId &Id) const;
+  /// All members that are not leaving.
   std::vector<Owner> owners() const;
   bool settled() const { return SettledThrough_ == Number_; }
   bool operator==(const View &) const = default;
--- a/src/membership/ownership.h
+++ b/src/membership/ownership.h
@@ -6,17 +6,18 @@
 
 namespace laburnumspread::membership {
 
-/// Rendezvous hashing over the owners of one view.
+/// Assigns items to the owners of one view by rendezvous hashing.
 class Ownership {
 public:
   explicit Ownership(std::span<const Owner> Owners);
 
-  /// The owner of an item, or null when the view has none.
+  /// The owner of an item, or null if the view has no owners.
   const MemberId *ownerOf(std::uint64_t ItemHash) const;
 
-  /// At most \p Count owners in different zones: the best of each zone, and of
-  /// those the best. One change of the view replaces at most one of them. With
-  /// fewer zones than that, fewer are returned.
+  /// Returns up to \p Count owners in different availability zones: the owner
+  /// with the highest weight of each zone, and of those the highest. Returns
+  /// fewer if there are fewer zones. Adding or removing one owner replaces at
+  /// most one of them.
   std::vector<MemberId> selectAcrossZones(std::uint64_t ItemHash,
                                           std::size_t Count) const;
 
--- a/src/membership/reachability.h
+++ b/src/membership/reachability.h
@@ -6,17 +6,18 @@
 
 namespace laburnumspread::membership {
 
-/// Without proof of contact for this long an entry counts itself as cut off.
-/// With the store's poll each second this keeps a withdrawn key from working
-/// for more than 5 s on an entry that hears nobody.
+/// The store or a peer counts as unreachable if it has not replied to a message
+/// sent within this time. Together with the poll of the store each second, this
+/// keeps a withdrawn key from working for more than 5 s on an isolated entry.
 constexpr framework::clock::Duration ReachabilityTimeout =
     std::chrono::milliseconds(2500);
 
-/// Proofs that the entry was in touch with others, by its own clock.
+/// Tracks when this entry last reached the store and its peers, by its own
+/// clock.
 ///
-/// A proof is the time at which the entry itself sent the message that was
-/// answered. The time of arrival would not do: a process that was paused finds
-/// old answers in its sockets when it wakes and would take them for fresh.
+/// Records the time at which the entry sent a message that was answered, not
+/// the time at which the reply arrived. A process that resumes after a pause
+/// finds old replies in its sockets and would otherwise take them for new.
 class ReachabilityTracker {
 public:
   /// A poll of the store sent at \p SentAt was answered.
@@ -27,16 +28,16 @@
   bool isStoreReachable(TimePoint Now) const;
   bool isPeerReachable(const MemberId &Peer, TimePoint Now) const;
 
-  /// Whether most members of \p Current, the entry itself included if it is
-  /// one, are in touch.
+  /// Whether a majority of the members of \p Current is reachable. Counts this
+  /// entry as reachable if it is a member.
   bool isMajorityReachable(const View &Current, const MemberId &Self,
                            TimePoint Now) const;
 
-  /// Whether the entry must refuse work: it reaches neither the store nor most
-  /// of its view, so a withdrawal could be in force without its knowledge. An
-  /// entry that still reaches most of the view goes on: changes are accepted
-  /// only by an entry that reaches most of it too, the two majorities share a
-  /// member, and that member passes the change on.
+  /// Whether the entry must refuse work because it reaches neither the store
+  /// nor a majority of its view, and so may miss the withdrawal of a key. An
+  /// entry that still reaches a majority may continue: changes are accepted
+  /// only by an entry that reaches a majority too, and the member that both
+  /// majorities share forwards the change.
   bool fenced(const View &Current, const MemberId &Self, TimePoint Now) const;
 
 private:
--- a/src/membership/tests/ownershiptest.cpp
+++ b/src/membership/tests/ownershiptest.cpp
@@ -35,7 +35,7 @@
   BOOST_TEST(Moved < Items * 2 / 7);
 }
 
-BOOST_AUTO_TEST_CASE(OneChangeReplacesAtMostOneOfThreeSpreadOwners) {
+BOOST_AUTO_TEST_CASE(OneRemovalReplacesAtMostOneOfThreeOwners) {
   const std::vector<Owner> Before = ownersIn(4, 7);
   for (std::size_t Lost = 0; Lost < Before.size(); ++Lost) {
     std::vector<Owner> After = Before;
--- a/src/membership/tests/reachabilitytest.cpp
+++ b/src/membership/tests/reachabilitytest.cpp
@@ -21,9 +21,9 @@
 
 } // namespace
 
-// The caller of a cut-off entry sees not-run within seconds, although the
-// entry's process is well. Its last proofs of contact grow old one after the
-// other; with three of seven members left it can miss a withdrawal.
+// An entry loses contact with the store and its peers one after the other. With
+// three of seven members reachable it can miss the withdrawal of a key and must
+// refuse work.
 BOOST_AUTO_TEST_CASE(EntryWithoutStoreAndMajorityIsFenced) {
   const View Current = viewOfSeven();
   const MemberId Self = Current.Members_[0].Id_;
@@ -38,9 +38,9 @@
   BOOST_TEST(!Table.fenced(Current, Self, Start + 4s));
 }
 
-// A process is stopped for an hour and finds, when it wakes, the answer to a
-// heartbeat that it had sent before. It must not take that for contact now.
-BOOST_AUTO_TEST_CASE(AnswerToAnOldHeartbeatIsNoProof) {
+// A process is paused for an hour and then reads the reply to a heartbeat that
+// it sent before the pause. The reply must not count as contact now.
+BOOST_AUTO_TEST_CASE(ReplyToAnOldHeartbeatIsNoContact) {
   const View Current = viewOfSeven();
   ReachabilityTracker Table;
   for (const Member &Item : Current.Members_)
@@ -48,7 +48,7 @@
   BOOST_TEST(Table.fenced(Current, Current.Members_[0].Id_, Start + 1h));
 }
 
-BOOST_AUTO_TEST_CASE(LoneMemberGoesOnThroughAStoreOutage) {
+BOOST_AUTO_TEST_CASE(SingleMemberContinuesDuringAStoreOutage) {
   View Alone = viewOfSeven();
   Alone.Members_.resize(1);
   BOOST_TEST(
--- a/src/membership/tests/viewchangestest.cpp
+++ b/src/membership/tests/viewchangestest.cpp
@@ -23,7 +23,7 @@
   return Result;
 }
 
-std::vector<MemberProgress> allArrived(const View &Current) {
+std::vector<MemberProgress> allComplete(const View &Current) {
   std::vector<MemberProgress> Result;
   for (const Member &Item : Current.Members_)
     Result.push_back({Item.Id_, Current.Number_, 0, 0});
@@ -44,11 +44,11 @@
              absl::StatusCode::kAlreadyExists);
 }
 
-BOOST_AUTO_TEST_CASE(ViewSettlesOnlyWhenAllHaveArrivedAndLeasesHaveEnded) {
+BOOST_AUTO_TEST_CASE(ViewSettlesOnlyAfterAllTransfersAndTaskLeases) {
   const TimePoint End(std::chrono::seconds(100));
   const View Current =
       *withRemoved(viewOf({"a", "b", "c"}), memberNamed("c").Id_, End);
-  std::vector<MemberProgress> Progress = allArrived(Current);
+  std::vector<MemberProgress> Progress = allComplete(Current);
   BOOST_TEST(!canSettle(Current, Progress, End));
   const TimePoint Later = End + std::chrono::seconds(1);
   BOOST_TEST(canSettle(Current, Progress, Later));
@@ -63,7 +63,7 @@
   BOOST_TEST(!canSettle(Current, Progress, Later));
 }
 
-BOOST_AUTO_TEST_CASE(ViewReadsBackEqual) {
+BOOST_AUTO_TEST_CASE(ViewRoundTripsThroughText) {
   View Current = *withJoined(viewOf({"a", "b"}), memberNamed("c"));
   Current = *withLeaving(Current, memberNamed("a").Id_);
   Current = *withRemoved(Current, memberNamed("b").Id_,
