--- a/src/maintenance/disruptionbudgets.h
+++ b/src/maintenance/disruptionbudgets.h
@@ -6,28 +6,29 @@
 
 namespace laburnumspread::maintenance {
 
-/// How many more VMs may be made unavailable in each pool, zone and rack. VMs
-/// that are down for any other reason count against the budgets.
+/// Tracks how many more VMs may be made unavailable in each pool, availability
+/// zone and rack. VMs that are unavailable for other reasons count against the
+/// budgets too. Must not outlive the tables.
 class DisruptionBudgets {
 public:
   DisruptionBudgets(const config::FleetTables &Tables, const VmList &List);
 
-  /// Whether the VM may be taken out of service now.
+  /// Whether the budgets allow the VM to be taken out of service.
   bool mayDisrupt(const fleet::Vm &Vm) const;
-  /// Why not; empty if it may.
+  /// Why the VM must not be taken out of service. Empty if it may.
   std::string blockingReason(const fleet::Vm &Vm) const;
-  /// Counts the VM as unavailable from now on.
+  /// Counts the VM as unavailable.
   void recordDisruption(const fleet::Vm &Vm);
-  /// Unavailable VMs in the VM's rack.
+  /// Number of unavailable VMs of the VM's pool in its rack.
   std::uint32_t unavailableInRack(const fleet::Vm &Vm) const;
 
 private:
   struct Count {
     std::uint32_t Total_ = 0;
-    std::uint32_t Down_ = 0;
+    std::uint32_t Unavailable_ = 0;
   };
-  /// A pool, or the part of it in one zone or rack. The views are into the
-  /// tables: at 11,000 VMs copies of the names took most of a tick.
+  /// A pool, or the part of it in one zone or rack. Holds views into the
+  /// tables, since copying the names took most of a tick at 11,000 VMs.
   struct BudgetScope {
     std::string_view Pool_;
     std::string_view Domain_;
@@ -50,7 +51,8 @@
   std::unordered_map<BudgetScope, Count, ScopeHash> Counts_;
 };
 
-/// Whether the VM can serve: in service, and live by the platform's list.
+/// Whether the VM can serve: it is active and not drained, and the platform
+/// lists it as live.
 bool isAvailable(const fleet::Vm &Vm, const VmList &List);
 
 } // namespace laburnumspread::maintenance
--- a/src/maintenance/internal/disruptionbudgets.cpp
+++ b/src/maintenance/internal/disruptionbudgets.cpp
@@ -25,12 +25,12 @@
                                      const VmList &List)
     : Tables_(Tables) {
   for (const auto &[Name, Vm] : Tables.Vms_) {
-    const bool Down = !isAvailable(Vm, List);
+    const bool Unavailable = !isAvailable(Vm, List);
     for (const BudgetScope &Where :
          {poolScope(Vm), zoneScope(Vm), rackScope(Vm)}) {
       Count &Row = Counts_[Where];
       ++Row.Total_;
-      Row.Down_ += Down;
+      Row.Unavailable_ += Unavailable;
     }
   }
 }
@@ -50,7 +50,7 @@
   auto Exceeded = [&](const BudgetScope &Where,
                       const fleet::CountOrPercent &Allowed) {
     const Count &Row = at(Where);
-    return Row.Down_ + 1 > Allowed.resolve(Row.Total_);
+    return Row.Unavailable_ + 1 > Allowed.resolve(Row.Total_);
   };
   auto TextOf = [&](const BudgetScope &Where,
                     const fleet::CountOrPercent &Allowed) {
@@ -59,7 +59,7 @@
     if (!Where.Kind_.empty())
       Text +=
           ", " + std::string(Where.Kind_) + " " + std::string(Where.Domain_);
-    return Text + ": " + std::to_string(Row.Down_) + " of " +
+    return Text + ": " + std::to_string(Row.Unavailable_) + " of " +
            std::to_string(Row.Total_) +
            " VMs are unavailable, the budget allows " +
            std::to_string(Allowed.resolve(Row.Total_));
@@ -79,11 +79,11 @@
 
 void DisruptionBudgets::recordDisruption(const fleet::Vm &Vm) {
   for (const BudgetScope &Where : {poolScope(Vm), zoneScope(Vm), rackScope(Vm)})
-    ++Counts_[Where].Down_;
+    ++Counts_[Where].Unavailable_;
 }
 
 std::uint32_t DisruptionBudgets::unavailableInRack(const fleet::Vm &Vm) const {
-  return at(rackScope(Vm)).Down_;
+  return at(rackScope(Vm)).Unavailable_;
 }
 
 } // namespace laburnumspread::maintenance
--- a/src/maintenance/internal/vmdirectory.cpp
+++ b/src/maintenance/internal/vmdirectory.cpp
@@ -25,7 +25,7 @@
   FieldErrors Errors;
   JsonReader Reader(*Document, "", Errors);
   const std::int64_t Version = Reader.optionalInt("version", 0, {});
-  // A platform that knows no versions sends the whole list each time.
+  // A platform without versions sends the complete list each time.
   if (Reader.optionalBool("complete", true))
     List_.clear();
   Reader.eachObject("vms", [&](JsonReader &Row) {
--- a/src/maintenance/internal/waveplanner.cpp
+++ b/src/maintenance/internal/waveplanner.cpp
@@ -32,7 +32,8 @@
   return std::find(Done.begin(), Done.end(), Name) != Done.end();
 }
 
-/// Notes that a wave has maintained the VM, and forgets waves that are over.
+/// Adds a wave to those that have maintained the VM, and drops waves that are
+/// over or no longer declared.
 void markDone(const config::FleetTables &Tables, const fleet::WaveName &Name,
               VmStatus &Status) {
   std::erase_if(Status.DoneWaves_, [&](const fleet::WaveName &Other) {
@@ -49,8 +50,9 @@
   return Status;
 }
 
-/// One wave's VMs, by how far they are.
+/// The VMs of one wave, by their progress.
 struct WaveProgress {
+  /// Active VMs that no wave has started with.
   std::vector<const Vm *> NotStarted_;
   std::uint32_t InProgress_ = 0;
   std::uint32_t Done_ = 0;
@@ -79,36 +81,38 @@
   return Result;
 }
 
-/// Batches grow by doubling, each after the one before has ended. Returns how
-/// many VMs may be started now and the size of the present batch.
+/// State of the current batch of a wave.
 struct BatchCapacity {
   std::uint32_t Size_ = 0;
+  /// Number of VMs of the batch that may be started now.
   std::uint32_t Available_ = 0;
 };
 
+/// Computes the current batch. The batch size doubles, up to MaximumBatch_,
+/// each time that all VMs of a batch are done or failed.
 BatchCapacity batchCapacity(const Wave &W, const WaveProgress &Progress) {
-  const std::uint32_t Ended = Progress.Done_ + Progress.Failed_;
+  const std::uint32_t Finished = Progress.Done_ + Progress.Failed_;
   std::uint32_t Before = 0;
   std::uint32_t Size = W.Spec_.FirstBatch_;
-  while (Before + Size <= Ended) {
+  while (Before + Size <= Finished) {
     Before += Size;
     Size = std::min(2 * Size, W.Spec_.MaximumBatch_);
   }
-  const std::uint32_t Started = Ended - Before + Progress.InProgress_;
+  const std::uint32_t Started = Finished - Before + Progress.InProgress_;
   return {Size, Size > Started ? Size - Started : 0};
 }
 
 bool mustHalt(const Wave &W, const WaveProgress &Progress) {
   if (Progress.Failed_ <= W.Spec_.AcceptedFailures_)
     return false;
-  // The first batch is there to show whether the change is sound at all: one
-  // failure before that many VMs have come back well is enough.
+  // The first batch is a canary that shows whether the change works at all:
+  // until that many VMs are done, a single failure halts the wave.
   const bool CanaryPassed = Progress.Done_ >= W.Spec_.FirstBatch_;
   const std::uint32_t Bound = CanaryPassed ? W.Spec_.HaltAfterFailures_ : 1;
   return Progress.Failed_ - W.Spec_.AcceptedFailures_ >= Bound;
 }
 
-/// Brings one VM that a wave has begun with forward.
+/// Plans the next step of one VM that a wave has started with.
 void advanceVm(const config::FleetTables &Tables, const Vm &Machine,
                bool Cancelled, const Observations &Observed, Plan &Output) {
   const std::string &Name = Machine.Metadata_.Name_;
@@ -143,9 +147,9 @@
       return Add(ActionKind::Fail,
                  inPhase(Machine, VmPhase::Failed, Observed.Now_),
                  "did not come back from its reboot");
-    // The list lags: as long as it shows the old boot the reboot may or may
-    // not be under way. Asking again is harmless, since the platform reboots
-    // only the boot that is named.
+    // The list lags: while it shows the old boot, the reboot may or may not be
+    // in progress. Requesting it again is safe, since the platform reboots only
+    // if the named boot is still the current one.
     if (Row != Observed.List_.end() &&
         Row->second.BootId_ == Status.BootIdBeforeReboot_)
       return Add(ActionKind::Reboot, Status, "reboot is due");
@@ -167,8 +171,8 @@
   }
 }
 
-/// Order in which VMs are taken: racks with the fewest VMs down first, so that
-/// a batch is spread over racks.
+/// Sorts VMs by the number of unavailable VMs in their racks, counting the VMs
+/// that come earlier, so that a batch is spread over racks.
 void spreadOverRacks(std::vector<const Vm *> &Machines,
                      const DisruptionBudgets &Budgets) {
   std::unordered_map<fleet::RackName, std::uint32_t> Position;
@@ -192,6 +196,7 @@
           std::move(Reason), std::move(Message), W.Metadata_.Generation_};
 }
 
+/// Plans the steps of waves one after the other. All waves share the budgets.
 class WaveAdvancer {
 public:
   WaveAdvancer(const config::FleetTables &Tables, const Observations &Observed,
@@ -242,10 +247,12 @@
     for (const Vm *Machine : Progress.NotStarted_) {
       if (Left == 0)
         return;
-      // Checked for each: the ones before it count already.
-      if (std::string Why = Budgets_.blockingReason(*Machine); !Why.empty()) {
+      // Checked again for each VM, since VMs started before it use up the
+      // budget.
+      if (std::string Reason = Budgets_.blockingReason(*Machine);
+          !Reason.empty()) {
         if (BlockedReason_.empty())
-          BlockedReason_ = std::move(Why);
+          BlockedReason_ = std::move(Reason);
         continue;
       }
       Budgets_.recordDisruption(*Machine);
@@ -261,11 +268,11 @@
 
   void setConditions(const Wave &W, const WaveProgress &Progress,
                      fleet::WaveStatus &Status) {
-    const bool Stuck = Status.Phase_ == WavePhase::Running &&
-                       Progress.InProgress_ == 0 && !BlockedReason_.empty();
+    const bool Blocked = Status.Phase_ == WavePhase::Running &&
+                         Progress.InProgress_ == 0 && !BlockedReason_.empty();
     std::string Reason = "Advancing";
     std::string Message;
-    if (Stuck) {
+    if (Blocked) {
       Reason = "BudgetUsedUp";
       Message = BlockedReason_;
     } else if (Status.Phase_ == WavePhase::Halted) {
@@ -273,16 +280,16 @@
       Message = std::to_string(Progress.Failed_) +
                 " VMs failed; raise spec.acceptedFailures to " +
                 std::to_string(Progress.Failed_) +
-                " to roll on, or cancel the wave";
+                " to continue, or cancel the wave";
     } else if (Status.Phase_ == WavePhase::Paused) {
       Reason = "PausedByOperator";
       Message = "set spec.run to run";
     } else if (Status.Phase_ != WavePhase::Running) {
       Reason = "Ended";
     }
-    const bool Going = Status.Phase_ == WavePhase::Running && !Stuck;
+    const bool Progressing = Status.Phase_ == WavePhase::Running && !Blocked;
     Status.Conditions_ = {
-        condition(W, "Progressing", Going, Reason, Message),
+        condition(W, "Progressing", Progressing, Reason, Message),
         condition(W, "Complete", Status.Phase_ == WavePhase::Complete,
                   std::string(fleet::nameOf(Status.Phase_)), "")};
   }
--- a/src/maintenance/maintenancetypes.h
+++ b/src/maintenance/maintenancetypes.h
@@ -11,45 +11,45 @@
 
 using framework::clock::Duration;
 
-/// Probes that a rebooted VM has to answer well in a row.
+/// Number of consecutive successful probes that end a VM's probation.
 constexpr std::uint32_t ProbesToPass = 3;
-/// A VM that has not passed its probation by then has failed.
+/// A VM that does not pass its probation within this time has failed.
 constexpr Duration ProbationTimeout = std::chrono::seconds(15);
-/// A VM that has not come back from its reboot by then has failed.
+/// A VM that does not return from its reboot within this time has failed.
 constexpr Duration RebootTimeout = std::chrono::minutes(10);
 
-/// How a VM has answered probes since it came back.
+/// Probe results of a VM since its reboot.
 struct ProbeState {
   std::uint32_t ConsecutiveSuccesses_ = 0;
 };
 
-/// What a decision of the planner depends on, besides the declared objects.
+/// Observed state that the planner uses besides the declared objects.
 struct Observations {
   const VmList &List_;
-  /// Whether every entry has acknowledged that the VM leaves, and nothing runs
-  /// on it any more.
+  /// Whether every entry has acknowledged that the VM is leaving, and no
+  /// request runs on it.
   std::function<bool(const std::string &Vm)> Drained_;
   std::function<ProbeState(const std::string &Vm)> Probes_;
   TimePoint Now_{};
 };
 
 enum class ActionKind {
-  /// Take no new work on it.
+  /// Start draining the VM: it gets no new work.
   Leave,
-  /// Back into service without a reboot: its wave was cancelled.
+  /// Return the VM to service without a reboot, since its wave was cancelled.
   CancelLeave,
-  /// Record the boot that is to end, then reboot.
+  /// Record the current boot before the reboot is requested.
   BeginReboot,
-  /// Ask the platform for the reboot that has been recorded.
+  /// Request the recorded reboot from the platform.
   Reboot,
-  /// It is back; hold it until it has passed its probes.
+  /// The VM has rebooted. Keep it out of service until it passes its probes.
   BeginProbation,
   Activate,
   Fail
 };
 std::string_view nameOf(ActionKind Kind);
 
-/// One step for one VM. Applied only if the VM is still in \p From_.
+/// One step for one VM. Must be applied only if the VM is still in phase From_.
 struct VmAction {
   ActionKind Kind_ = ActionKind::Leave;
   std::string Vm_;
@@ -58,12 +58,13 @@
   std::string Reason_;
 };
 
+/// New status of a wave.
 struct WaveUpdate {
   std::string Wave_;
   fleet::WaveStatus To_;
 };
 
-/// All steps of one tick. Empty when declared and observed state agree.
+/// All steps of one tick. Empty if the observed state matches the declared one.
 struct Plan {
   std::vector<VmAction> Vms_;
   std::vector<WaveUpdate> Waves_;
--- a/src/maintenance/tests/waveplannertest.cpp
+++ b/src/maintenance/tests/waveplannertest.cpp
@@ -14,16 +14,16 @@
 
 namespace {
 
-/// A fleet of one pool, its platform and a planner that applies every step as
-/// the service would.
+/// A fleet of one pool with its platform. Applies every planned step as the
+/// planner service does.
 struct Fixture {
   config::FleetTables Tables_;
   VmList List_;
-  std::set<std::string> Undrained_;
-  std::set<std::string> Broken_;
+  std::set<std::string> NotDrained_;
+  std::set<std::string> FailingProbes_;
   std::map<std::string, int> Reboots_;
   TimePoint Now_{1000h};
-  std::uint32_t MostDown_ = 0;
+  std::uint32_t MaxUnavailable_ = 0;
 
   Fixture() {
     fleet::Pool Pool;
@@ -54,9 +54,10 @@
   Plan plan() {
     return planWaves(
         Tables_,
-        {List_, [&](const std::string &Vm) { return !Undrained_.contains(Vm); },
+        {List_,
+         [&](const std::string &Vm) { return !NotDrained_.contains(Vm); },
          [&](const std::string &Vm) {
-           return ProbeState{Broken_.contains(Vm) ? 0 : ProbesToPass};
+           return ProbeState{FailingProbes_.contains(Vm) ? 0 : ProbesToPass};
          },
          Now_});
   }
@@ -74,13 +75,13 @@
     }
     for (const WaveUpdate &Step : Steps.Waves_)
       Tables_.Waves_.at(Step.Wave_).Status_ = Step.To_;
-    std::uint32_t Down = 0;
+    std::uint32_t Unavailable = 0;
     for (const auto &[Name, Vm] : Tables_.Vms_)
-      Down += !isAvailable(Vm, List_);
-    MostDown_ = std::max(MostDown_, Down);
+      Unavailable += !isAvailable(Vm, List_);
+    MaxUnavailable_ = std::max(MaxUnavailable_, Unavailable);
   }
 
-  /// Runs ticks until the wave rests or \p Ticks have passed.
+  /// Runs \p Ticks ticks, one second apart.
   void run(int Ticks = 500) {
     for (int I = 0; I < Ticks; ++I) {
       apply(plan());
@@ -100,7 +101,7 @@
   run();
   BOOST_TEST((status().Phase_ == WavePhase::Complete));
   BOOST_TEST(status().Done_ == 20u);
-  BOOST_TEST(MostDown_ == 4u);
+  BOOST_TEST(MaxUnavailable_ == 4u);
   for (const auto &[Name, Vm] : Tables_.Vms_)
     BOOST_TEST(Reboots_[Name] == 1);
   BOOST_TEST(plan().empty());
@@ -114,15 +115,15 @@
   BOOST_TEST(status().Batch_ >= 2u);
 }
 
-// A rack has failed on its own and takes all of the budget. The wave must not
-// take a further VM, and must say why instead of waiting in silence.
+// A rack failure uses up the whole budget. The wave must not start with another
+// VM and must report the reason.
 BOOST_FIXTURE_TEST_CASE(VmsDownForOtherReasonsCount, Fixture) {
   for (int I = 0; I < 4; ++I)
     List_["vm-" + std::to_string(10 + I)].Live_ = false;
   addWave();
   run(20);
   BOOST_TEST(status().InProgress_ == 0u);
-  BOOST_TEST(MostDown_ == 4u);
+  BOOST_TEST(MaxUnavailable_ == 4u);
   const fleet::Condition &Progressing = status().Conditions_.at(0);
   BOOST_TEST(Progressing.Reason_ == "BudgetUsedUp");
   BOOST_TEST(Progressing.Message_ ==
@@ -133,13 +134,13 @@
   BOOST_TEST((status().Phase_ == WavePhase::Complete));
 }
 
-// Two waves run at once over the same VMs. Together they keep to the budget
-// and none of them takes a VM that the other holds.
+// Two waves run over the same VMs at once. Together they must stay within the
+// budget and both must complete.
 BOOST_FIXTURE_TEST_CASE(TwoWavesShareOneBudget, Fixture) {
   addWave("w");
   addWave("x");
   run();
-  BOOST_TEST(MostDown_ <= 4u);
+  BOOST_TEST(MaxUnavailable_ <= 4u);
   BOOST_TEST((status("w").Phase_ == WavePhase::Complete));
   BOOST_TEST((status("x").Phase_ == WavePhase::Complete));
 }
@@ -151,10 +152,10 @@
   Tables_.Pools_["orders"].Spec_.Budget_.Pool_ = {1, false};
   for (int I = 0; I < 60; ++I) {
     const Plan Next = plan();
-    std::uint32_t Down = 0;
+    std::uint32_t Unavailable = 0;
     for (const auto &[Name, Vm] : Tables_.Vms_)
-      Down += !isAvailable(Vm, List_);
-    if (Down >= 1)
+      Unavailable += !isAvailable(Vm, List_);
+    if (Unavailable >= 1)
       for (const VmAction &Step : Next.Vms_)
         BOOST_TEST((Step.Kind_ != ActionKind::Leave));
     apply(Next);
@@ -175,38 +176,38 @@
   BOOST_TEST(status().InProgress_ == 4u);
 }
 
-// The image that the wave brings is broken: the canary comes back and fails
-// every probe. One VM is lost, not a batch.
+// The wave rolls out a broken image: the canary reboots and fails every probe.
+// The wave must halt after this one VM.
 BOOST_FIXTURE_TEST_CASE(FailedCanaryHaltsTheWaveAtOnce, Fixture) {
   for (const auto &[Name, Vm] : Tables_.Vms_)
-    Broken_.insert(Name);
+    FailingProbes_.insert(Name);
   addWave();
   run(100);
   BOOST_TEST((status().Phase_ == WavePhase::Halted));
   BOOST_TEST(status().Failed_ == 1u);
   BOOST_TEST(Reboots_.size() == 1u);
   BOOST_TEST(status().Conditions_.at(0).Message_ ==
-             "1 VMs failed; raise spec.acceptedFailures to 1 to roll on, or "
+             "1 VMs failed; raise spec.acceptedFailures to 1 to continue, or "
              "cancel the wave");
-  Broken_.clear();
+  FailingProbes_.clear();
   Tables_.Waves_["w"].Spec_.AcceptedFailures_ = 1;
   run();
   BOOST_TEST((status().Phase_ == WavePhase::Complete));
   BOOST_TEST(status().Done_ == 19u);
 }
 
-// A VM comes back that answers everything with failures. It stays in
-// probation, where it gets no work, and is not counted as available.
-BOOST_FIXTURE_TEST_CASE(BlackHoleStaysInProbation, Fixture) {
-  Broken_.insert("vm-10");
+// A rebooted VM fails every request. It must stay on probation, where it gets
+// no work and does not count as available.
+BOOST_FIXTURE_TEST_CASE(FailingVmStaysOnProbation, Fixture) {
+  FailingProbes_.insert("vm-10");
   addWave();
   run(8);
   BOOST_TEST((Tables_.Vms_["vm-10"].Status_.Phase_ == VmPhase::Probation));
   BOOST_TEST(!isAvailable(Tables_.Vms_["vm-10"], List_));
 }
 
-// The list still shows the old boot after the reboot was asked for, so the
-// planner asks again, any number of times. The platform reboots once.
+// The list still shows the old boot after the reboot was requested, so the
+// planner requests it again. The VM must reboot only once.
 BOOST_FIXTURE_TEST_CASE(LaggingListRepeatsNoReboot, Fixture) {
   addWave();
   run(2);
@@ -223,18 +224,18 @@
   BOOST_TEST(Reboots_["vm-10"] == 1);
 }
 
-// An entry cannot be reached, so nobody knows whether it still uses the VM.
+// An unreachable entry may still use the VM, so the VM counts as not drained.
 BOOST_FIXTURE_TEST_CASE(UndrainedVmIsNotRebooted, Fixture) {
   for (const auto &[Name, Vm] : Tables_.Vms_)
-    Undrained_.insert(Name);
+    NotDrained_.insert(Name);
   addWave();
   run(50);
   BOOST_TEST(Reboots_.empty());
   BOOST_TEST(status().InProgress_ == 1u);
 }
 
-// The planner dies after each single step, and another goes on from what is
-// stored.
+// The planner crashes after each single step. The next one must continue from
+// the stored state without repeating a reboot.
 BOOST_FIXTURE_TEST_CASE(AnotherPlannerResumesAtAnyStep, Fixture) {
   addWave();
   for (int I = 0; I < 2000 && status().Phase_ != WavePhase::Complete; ++I) {
@@ -251,11 +252,11 @@
     BOOST_TEST(Count == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(CancelledWaveRecallsWhatHasNotBegunItsReboot, Fixture) {
+BOOST_FIXTURE_TEST_CASE(CancelledWaveReactivatesVmsThatDidNotReboot, Fixture) {
   fleet::Wave &Wave = addWave();
   Wave.Spec_.FirstBatch_ = 2;
   for (const auto &[Name, Vm] : Tables_.Vms_)
-    Undrained_.insert(Name);
+    NotDrained_.insert(Name);
   apply(plan());
   Wave.Spec_.Command_ = fleet::WaveCommand::Cancel;
   run(5);
--- a/src/maintenance/waveplanner.h
+++ b/src/maintenance/waveplanner.h
@@ -4,9 +4,9 @@
 
 namespace laburnumspread::maintenance {
 
-/// The steps that bring all maintenance waves forward. Level-triggered: made
-/// from the present state alone, so that any planner can go on where another
-/// stopped, and empty when there is nothing to do.
+/// Plans the next steps of all maintenance waves. Level-triggered: depends only
+/// on the current state, so any planner can continue where another stopped. The
+/// plan is empty if there is nothing to do.
 Plan planWaves(const config::FleetTables &Tables, const Observations &Observed);
 
 } // namespace laburnumspread::maintenance
