--- a/src/pools/internal/moveplanner.cpp
+++ b/src/pools/internal/moveplanner.cpp
@@ -13,12 +13,13 @@
 namespace {
 
 constexpr Duration LendBaseDelay = std::chrono::milliseconds(500);
-/// Longer than a peak lasts: the next pool that is short is then lent a VM by
-/// the former one directly, one move instead of two.
+/// Longer than a demand peak. A VM is then lent directly to the next overloaded
+/// pool, in one move instead of two.
 constexpr Duration ReturnBaseDelay = std::chrono::seconds(30);
-/// A pool has room to spare below this part of its slots in use.
+/// A pool is underused if its requests need less than this fraction of its
+/// slots.
 constexpr double UnderusedBelow = 0.5;
-/// VMs that one pool is lent in one tick.
+/// Maximum number of VMs that one pool is lent or returns in one tick.
 constexpr std::uint32_t MaxMovesPerTick = 4;
 
 Duration scaled(Duration Base, double Factor) {
@@ -100,8 +101,9 @@
   return State != States_.end() && State->second.UnderusedSince_ != TimePoint{};
 }
 
-/// The VM with the least work; among equals one of the zone that has most, so
-/// that the donor stays spread over its zones.
+/// Returns the VM that runs the fewest requests, or null if there is none.
+/// Prefers VMs of the availability zone with the most VMs, so that the donor
+/// stays spread over zones.
 const Vm *MovePlanner::leastLoadedVm(const PoolSummary &Donor,
                                      const MoveInputs &Inputs) {
   std::map<fleet::ZoneName, int> InZone;
@@ -143,7 +145,7 @@
       ++Moved;
       Moves.push_back({Machine->Metadata_.Name_, Donor->Name_, To.Name_,
                        Machine->Spec_.Pool_ == To.Name_,
-                       "more work than slots"});
+                       "more requests than slots"});
     }
   }
 }
@@ -161,7 +163,7 @@
     From.Slots_ -= Slots;
     ++Moved;
     Moves.push_back({Machine->Metadata_.Name_, From.Name_, Machine->Spec_.Pool_,
-                     true, "room to spare"});
+                     true, "underused"});
   }
 }
 
--- a/src/pools/tests/moveplannertest.cpp
+++ b/src/pools/tests/moveplannertest.cpp
@@ -64,7 +64,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(ShortPoolIsLentSpareVmsUntilItFits, Fixture) {
+BOOST_FIXTURE_TEST_CASE(OverloadedPoolIsLentSpareVms, Fixture) {
   Work_[PoolName("orders")] = {32, 10};
   BOOST_TEST(tick().empty());
   BOOST_TEST(tick().size() == 2u);
@@ -80,7 +80,7 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(LentVmsGoHomeOnlyAfterTheLongerTime, Fixture) {
+BOOST_FIXTURE_TEST_CASE(LentVmsReturnOnlyAfterTheReturnDelay, Fixture) {
   Work_[PoolName("orders")] = {32, 10};
   tick();
   tick();
@@ -91,7 +91,7 @@
   BOOST_TEST(vmsIn("spare") == 3);
 }
 
-BOOST_FIXTURE_TEST_CASE(BusyVmStaysWhileAnIdleOneGoes, Fixture) {
+BOOST_FIXTURE_TEST_CASE(IdleVmIsLentBeforeABusyOne, Fixture) {
   Running_["spare-0"] = 3;
   Running_["spare-1"] = 1;
   Work_[PoolName("orders")] = {32, 1};
@@ -109,9 +109,9 @@
   BOOST_TEST(vmsIn("menus") == 2);
 }
 
-// A wave is under way in the pool. Moving its VMs meanwhile would change the
-// totals that its budget is worked out from.
-BOOST_FIXTURE_TEST_CASE(NothingMovesAgainstAWave, Fixture) {
+// A wave is running in the pool. Moving VMs would change the totals from which
+// its disruption budget is computed.
+BOOST_FIXTURE_TEST_CASE(NothingMovesDuringAWave, Fixture) {
   fleet::Wave Wave;
   Wave.Status_.Phase_ = fleet::WavePhase::Running;
   Tables_.Waves_["w"] = Wave;
@@ -120,7 +120,7 @@
     BOOST_TEST(tick().empty());
 }
 
-BOOST_AUTO_TEST_CASE(WeightsShiftTheTimes) {
+BOOST_AUTO_TEST_CASE(WeightsChangeTheDelays) {
   const MovePlanner Lunch({2, 1, 1});
   const MovePlanner Print({1, 2, 2});
   BOOST_TEST((Lunch.lendDelay() < Print.lendDelay()));
