--- a/src/idempotency/idempotencytypes.h
+++ b/src/idempotency/idempotencytypes.h
@@ -76,6 +76,7 @@
   RecordState State_ = RecordState::Reserved;
   /// The request has ended by this time, whether or not its outcome is known.
   TimePoint LeaseUntil_{};
+  /// When the record may be dropped.
   TimePoint ForgetAfter_{};
   /// Hash of the request. Tells a repeated request from another request that
   /// reuses the key.
--- a/src/idempotency/internal/replicatable.cpp
+++ b/src/idempotency/internal/replicatable.cpp
@@ -17,9 +17,13 @@
 
 constexpr std::size_t ReplicationFactor = 3;
 
-std::vector<MemberId> replicasUnder(const Ownership &Owners, std::uint32_t Of) {
+/// The replicas of a bucket under the owners of one view. The hash constant,
+/// "home" in ASCII, must be the same at all entries.
+std::vector<MemberId> replicasUnder(const Ownership &Owners,
+                                    std::uint32_t Index) {
   return Owners.selectAcrossZones(
-      framework::ids::rendezvousWeight(Of + 1, 0x686f6d65), ReplicationFactor);
+      framework::ids::rendezvousWeight(Index + 1, 0x686f6d65),
+      ReplicationFactor);
 }
 
 bool contains(const std::vector<MemberId> &In, const MemberId &Id) {
@@ -56,8 +60,8 @@
 
 } // namespace
 
-std::vector<MemberId> replicasOf(const View &Current, Bucket Of) {
-  return replicasUnder(Ownership(Current.owners()), Of.value());
+std::vector<MemberId> replicasOf(const View &Current, Bucket Target) {
+  return replicasUnder(Ownership(Current.owners()), Target.value());
 }
 
 struct ReplicaTable::State {
@@ -136,6 +140,9 @@
                          });
   }
 
+  /// Marks a replica as ready once it has copied from a majority of its
+  /// sources, or once no majority can be reached any more and all available
+  /// sources are copied.
   void refreshReadiness(BucketState &Item, TimePoint Now) {
     if (Item.IsReplica_ && !Item.Ready_) {
       const std::size_t Need = quorumOf(Item.CatchUp_.Sources_.size());
--- a/src/idempotency/replicatable.h
+++ b/src/idempotency/replicatable.h
@@ -8,10 +8,10 @@
 
 /// The idempotency records that one entry holds as a replica.
 ///
-/// Each key has three replicas in different zones, or fewer if there are fewer
-/// zones. An attempt may dispatch once a majority of them has answered Reserved
-/// under one view. At every view at most one ready replica lacks the record of
-/// a dispatched key, so any two ready replicas find it.
+/// Each key has three replicas in different availability zones, or fewer if
+/// there are fewer zones. An attempt may dispatch once a majority of them has
+/// answered Reserved under one view. At every view at most one ready replica
+/// lacks the record of a dispatched key, so any two ready replicas find it.
 ///
 /// A replica is ready if it was one at the previous view, or once it has copied
 /// the records from a majority of the replicas of the previous view. Each of
@@ -28,6 +28,7 @@
   /// Adopts a view. Ignores a view with a lower number than the current one.
   void adoptView(const membership::View &Next, TimePoint Now);
 
+  /// Reserves a key for an attempt, or tells why not.
   ReserveReply reserve(const ReserveRequest &Request, TimePoint Now);
   /// Records how an attempt ended. Creates the record if the reservation never
   /// arrived.
@@ -37,6 +38,7 @@
 
   /// The copies that buckets of this entry still need to become ready.
   std::vector<CopyRequest> missingCopies() const;
+  /// Answers another replica's request for the records of a bucket.
   CopyReply handleCopyRequest(const CopyRequest &Request) const;
   /// Adds the copied records. Ignores a reply that is no longer needed.
   void applyCopyReply(const CopyReply &Reply, TimePoint Now);
@@ -58,6 +60,7 @@
 };
 
 /// The replicas of a bucket at a view.
-std::vector<MemberId> replicasOf(const membership::View &Current, Bucket Of);
+std::vector<MemberId> replicasOf(const membership::View &Current,
+                                 Bucket Target);
 
 } // namespace laburnumspread::idempotency
--- a/src/limits/internal/unitledger.cpp
+++ b/src/limits/internal/unitledger.cpp
@@ -19,12 +19,14 @@
 
 namespace {
 
+/// Whether a borrowed unit can be used for work that runs until \p Until.
 bool usable(const BorrowedUnit &Item, std::uint32_t Limit, TimePoint Until,
             TimePoint Now) {
   return !Item.InUse_ && Item.Loan_.Until_ >= Until &&
          Item.Loan_.Until_ > Now && Item.Loan_.Unit_.value() < Limit;
 }
 
+/// A unit that this entry has lent out.
 struct LentUnit {
   std::uint32_t Subject_ = 0;
   Unit Unit_;
@@ -84,6 +86,7 @@
     return true;
   }
 
+  /// Recomputes whether an earlier owner still holds units of an owned block.
   void refreshBlocked(const SubjectState &Subject, Block &Item) const {
     const std::uint64_t Hash = blockHash(Subject, Item.Index_);
     Item.Blocked_ =
@@ -160,6 +163,8 @@
     return std::nullopt;
   }
 
+  /// Removes the idle loans that match the predicate and remembers them as
+  /// returned.
   template <typename Predicate>
   std::vector<LoanId> removeLoans(SubjectState &From, Predicate &&Matches) {
     std::vector<LoanId> Taken;
--- a/src/limits/unitledger.h
+++ b/src/limits/unitledger.h
@@ -38,6 +38,7 @@
   /// until \p Until. Returns nullopt if neither is available.
   std::optional<Permit> acquire(SubjectIndex Subject, TimePoint Until,
                                 TimePoint Now);
+  /// Ends the use of a unit. A borrowed unit stays borrowed and idle.
   void release(const Permit &Held);
 
   /// Whether acquire() would return a permit.
@@ -79,6 +80,7 @@
 
   ViewNumber view() const;
   SubjectCounts counts(SubjectIndex Subject) const;
+  /// Number of subjects. Their indexes are 0 to subjectCount() - 1.
   std::size_t subjectCount() const;
   const SubjectName &nameOf(SubjectIndex Subject) const;
   /// Number of units of a subject that this entry uses or has lent out,
--- a/src/maintenance/internal/waveplanner.cpp
+++ b/src/maintenance/internal/waveplanner.cpp
@@ -146,7 +146,7 @@
     if (Observed.Now_ - Status.Since_ > RebootTimeout)
       return Add(ActionKind::Fail,
                  inPhase(Machine, VmPhase::Failed, Observed.Now_),
-                 "did not come back from its reboot");
+                 "did not return from its reboot");
     // The list lags: while it shows the old boot, the reboot may or may not be
     // in progress. Requesting it again is safe, since the platform reboots only
     // if the named boot is still the current one.
--- a/src/maintenance/maintenancetypes.h
+++ b/src/maintenance/maintenancetypes.h
@@ -44,7 +44,9 @@
   Reboot,
   /// The VM has rebooted. Keep it out of service until it passes its probes.
   BeginProbation,
+  /// Return the VM to service after its probation.
   Activate,
+  /// Mark the VM as failed.
   Fail
 };
 std::string_view nameOf(ActionKind Kind);
--- a/src/pools/internal/moveplanner.cpp
+++ b/src/pools/internal/moveplanner.cpp
@@ -30,13 +30,13 @@
 bool isWaveActive(const config::FleetTables &Tables, const PoolName &Pool) {
   return std::any_of(
       Tables.Waves_.begin(), Tables.Waves_.end(), [&](const auto &Row) {
-        const fleet::Wave &Of = Row.second;
-        const auto &Pools = Of.Spec_.Pools_;
+        const fleet::Wave &Wave = Row.second;
+        const auto &Pools = Wave.Spec_.Pools_;
         const bool Covers =
             Pools.empty() ||
             std::find(Pools.begin(), Pools.end(), Pool) != Pools.end();
-        return Covers && Of.Status_.Phase_ != fleet::WavePhase::Complete &&
-               Of.Status_.Phase_ != fleet::WavePhase::Cancelled;
+        return Covers && Wave.Status_.Phase_ != fleet::WavePhase::Complete &&
+               Wave.Status_.Phase_ != fleet::WavePhase::Cancelled;
       });
 }
 
--- a/src/pools/moveplanner.h
+++ b/src/pools/moveplanner.h
@@ -59,6 +59,8 @@
 public:
   explicit MovePlanner(MoveWeights Weights) : Weights_(Weights) {}
 
+  /// Plans the moves of one tick. Must be called at every tick, since it tracks
+  /// for how long pools have been overloaded or underused.
   std::vector<Move> plan(const MoveInputs &Inputs);
 
   /// How long a pool must be overloaded before it is lent VMs.
--- a/src/sharing/fleetusage.h
+++ b/src/sharing/fleetusage.h
@@ -31,9 +31,12 @@
   void updatePeerRows(const MemberId &Peer, const std::vector<Row> &Rows);
   /// Replaces all rows of a peer.
   void replacePeerRows(const MemberId &Peer, const std::vector<Row> &Rows);
+  /// Removes all rows of a peer.
   void removePeer(const MemberId &Peer);
 
+  /// Changes the number of this entry's running requests by \p By.
   void addRunning(const PoolName &Pool, const TeamName &Team, int By);
+  /// Changes the number of this entry's waiting requests by \p By.
   void addWaiting(const PoolName &Pool, const TeamName &Team, int By);
 
   /// Usage over the whole fleet.
