--- a/src/idempotency/internal/replicatable.cpp
+++ b/src/idempotency/internal/replicatable.cpp
@@ -17,45 +17,51 @@
 
 constexpr std::size_t ReplicationFactor = 3;
 
-std::vector<MemberId> replicasUnder(const Ownership &Owners, std::uint32_t Of) {
+/// The replicas of a bucket under the owners of one view. The hash constant,
+/// "home" in ASCII, must be the same at all entries.
+std::vector<MemberId> replicasUnder(const Ownership &Owners,
+                                    std::uint32_t Index) {
   return Owners.selectAcrossZones(
-      framework::ids::rendezvousWeight(Of + 1, 0x686f6d65), ReplicationFactor);
+      framework::ids::rendezvousWeight(Index + 1, 0x686f6d65),
+      ReplicationFactor);
 }
 
 bool contains(const std::vector<MemberId> &In, const MemberId &Id) {
   return std::find(In.begin(), In.end(), Id) != In.end();
 }
 
-/// What a home still has to copy before it is ready.
-struct Requirement {
+/// The copies that a replica needs before it is ready.
+struct CatchUp {
+  /// Replicas of the previous view.
   std::vector<MemberId> Sources_;
   ViewNumber Since_;
   std::set<MemberId> Copied_;
-  std::set<MemberId> Never_;
+  /// Sources that cannot provide a copy.
+  std::set<MemberId> Unavailable_;
 };
 
 struct BucketState {
-  std::vector<MemberId> Homes_;
-  bool Home_ = false;
+  std::vector<MemberId> Replicas_;
+  bool IsReplica_ = false;
   bool Ready_ = false;
-  /// Last view at which this entry was a ready home.
-  ViewNumber ReadyThrough_;
-  Requirement Needs_;
-  /// Keys minted before this may have records that are lost.
+  /// Last view at which this entry was a ready replica.
+  ViewNumber LastReadyView_;
+  CatchUp CatchUp_;
+  /// Records of keys created before this time may be lost.
   TimePoint RecordsLostBefore_{};
   std::unordered_map<RecordName, Record> Records_;
 };
 
-/// A final state says more than a reservation.
-void merge(Record &Into, const Record &From) {
+/// Replaces a reservation by \p From. A final state is never replaced.
+void mergeRecord(Record &Into, const Record &From) {
   if (Into.State_ == RecordState::Reserved)
     Into = From;
 }
 
 } // namespace
 
-std::vector<MemberId> replicasOf(const View &Current, Bucket Of) {
-  return replicasUnder(Ownership(Current.owners()), Of.value());
+std::vector<MemberId> replicasOf(const View &Current, Bucket Target) {
+  return replicasUnder(Ownership(Current.owners()), Target.value());
 }
 
 struct ReplicaTable::State {
@@ -66,30 +72,32 @@
   View View_;
   std::vector<BucketState> Buckets_;
 
-  /// Applies the change from homes \p Before to homes \p After at view \p At.
-  void step(BucketState &Item, const std::vector<MemberId> &Before,
-            const std::vector<MemberId> &After, ViewNumber At) {
-    const bool WasReady = Item.Home_ && Item.Ready_;
-    const bool WasHome = contains(Before, Self_);
-    Item.Homes_ = After;
-    Item.Home_ = contains(After, Self_);
-    // With fewer homes a smaller majority decides, which may consist of the
-    // one home that lacks a key. So every home copies again.
+  /// Applies a change of a bucket's replicas from \p Before to \p After at view
+  /// \p At.
+  void applyReplicaChange(BucketState &Item,
+                          const std::vector<MemberId> &Before,
+                          const std::vector<MemberId> &After, ViewNumber At) {
+    const bool WasReady = Item.IsReplica_ && Item.Ready_;
+    const bool WasReplica = contains(Before, Self_);
+    Item.Replicas_ = After;
+    Item.IsReplica_ = contains(After, Self_);
+    // With fewer replicas a majority is smaller and may consist of the one
+    // replica that lacks a key, so every replica copies again.
     const bool Fewer = After.size() < Before.size();
-    if (!Item.Home_) {
+    if (!Item.IsReplica_) {
       Item.Ready_ = false;
-      Item.Needs_ = {};
-    } else if (!WasHome || Fewer) {
+      Item.CatchUp_ = {};
+    } else if (!WasReplica || Fewer) {
       Item.Ready_ = false;
-      Item.Needs_ = {Before, At, {}, {}};
+      Item.CatchUp_ = {Before, At, {}, {}};
       if (WasReady)
-        Item.Needs_.Copied_.insert(Self_);
+        Item.CatchUp_.Copied_.insert(Self_);
     }
   }
 
-  /// Walks through all views between the present one and \p Next, since a home
-  /// stays ready only if it was one at each of them.
-  void walkTo(const View &Next) {
+  /// Applies all views after the current one up to \p Next in order, since a
+  /// replica stays ready only if it was one at each of them.
+  void applyViewsThrough(const View &Next) {
     std::vector<std::pair<ViewNumber, Ownership>> Steps;
     const bool Known = View_.Number_.value() > 0;
     for (const membership::PastView &Past : Next.Past_)
@@ -100,53 +108,60 @@
       BucketState &Item = Buckets_[B];
       std::size_t First = 0;
       if (!Known)
-        First = startAt(Item, replicasUnder(Steps[0].second, B), Next);
+        First = initializeBucket(Item, replicasUnder(Steps[0].second, B), Next);
       for (std::size_t I = First; I < Steps.size(); ++I) {
-        const std::vector<MemberId> Before = Item.Homes_;
-        step(Item, Before, replicasUnder(Steps[I].second, B), Steps[I].first);
+        const std::vector<MemberId> Before = Item.Replicas_;
+        applyReplicaChange(Item, Before, replicasUnder(Steps[I].second, B),
+                           Steps[I].first);
       }
     }
   }
 
-  /// First view of this process. The oldest view that it is shown is settled:
-  /// its homes are ready, this entry among them only if it has just made the
-  /// first view of all. Returns the index of the next step.
-  std::size_t startAt(BucketState &Item, std::vector<MemberId> Homes,
-                      const View &Next) {
-    Item.Homes_ = std::move(Homes);
-    Item.Home_ = contains(Item.Homes_, Self_);
-    Item.Ready_ = Item.Home_ && Next.Past_.empty();
+  /// Initializes a bucket from the first view that this process adopts. The
+  /// oldest view in it is settled, so its replicas are ready. This entry is
+  /// ready only if it has just created the very first view. Returns the index
+  /// of the next view to apply.
+  std::size_t initializeBucket(BucketState &Item,
+                               std::vector<MemberId> Replicas,
+                               const View &Next) {
+    Item.Replicas_ = std::move(Replicas);
+    Item.IsReplica_ = contains(Item.Replicas_, Self_);
+    Item.Ready_ = Item.IsReplica_ && Next.Past_.empty();
     return 1;
   }
 
-  /// Sources that may still give a copy.
-  std::size_t possible(const BucketState &Item) const {
-    return std::count_if(Item.Needs_.Sources_.begin(),
-                         Item.Needs_.Sources_.end(), [&](const MemberId &Id) {
-                           return Item.Needs_.Copied_.contains(Id) ||
+  /// Number of sources that have provided a copy or may still do so.
+  std::size_t availableSources(const BucketState &Item) const {
+    return std::count_if(Item.CatchUp_.Sources_.begin(),
+                         Item.CatchUp_.Sources_.end(), [&](const MemberId &Id) {
+                           return Item.CatchUp_.Copied_.contains(Id) ||
                                   (Id != Self_ && View_.find(Id) &&
-                                   !Item.Needs_.Never_.contains(Id));
+                                   !Item.CatchUp_.Unavailable_.contains(Id));
                          });
   }
 
+  /// Marks a replica as ready once it has copied from a majority of its
+  /// sources, or once no majority can be reached any more and all available
+  /// sources are copied.
   void refreshReadiness(BucketState &Item, TimePoint Now) {
-    if (Item.Home_ && !Item.Ready_) {
-      const std::size_t Need = quorumOf(Item.Needs_.Sources_.size());
-      const std::size_t Copied = Item.Needs_.Copied_.size();
-      if (Copied >= Need && !Item.Needs_.Sources_.empty())
+    if (Item.IsReplica_ && !Item.Ready_) {
+      const std::size_t Need = quorumOf(Item.CatchUp_.Sources_.size());
+      const std::size_t Copied = Item.CatchUp_.Copied_.size();
+      if (Copied >= Need && !Item.CatchUp_.Sources_.empty())
         Item.Ready_ = true;
-      else if (possible(Item) < Need && Copied == possible(Item)) {
-        // A majority of the former homes is lost for good, and with it maybe
-        // the only records of some keys. Refusing those for ever would stop
-        // all work; answering Fresh would run them twice.
+      else if (availableSources(Item) < Need &&
+               Copied == availableSources(Item)) {
+        // A majority of the former replicas is permanently lost, possibly with
+        // the only records of some keys. Staying not ready would stop all work,
+        // and reserving those keys again could run their requests twice.
         Item.Ready_ = true;
         Item.RecordsLostBefore_ = Now + ClockSkewMargin;
       }
     }
-    if (Item.Home_ && Item.Ready_)
-      Item.ReadyThrough_ = View_.Number_;
-    // Nobody asks a former home once the view is settled.
-    if (!Item.Home_ && View_.settled())
+    if (Item.IsReplica_ && Item.Ready_)
+      Item.LastReadyView_ = View_.Number_;
+    // Former replicas are not asked for copies once the view is settled.
+    if (!Item.IsReplica_ && View_.settled())
       Item.Records_.clear();
   }
 };
@@ -161,7 +176,7 @@
   if (Next.Number_ < S.View_.Number_ || Next == S.View_)
     return;
   if (Next.Number_ > S.View_.Number_)
-    S.walkTo(Next);
+    S.applyViewsThrough(Next);
   S.View_ = Next;
   for (BucketState &Item : S.Buckets_)
     S.refreshReadiness(Item, Now);
@@ -184,7 +199,7 @@
     }
     return Reply;
   }
-  if (!Item.Home_ || !Item.Ready_) {
+  if (!Item.IsReplica_ || !Item.Ready_) {
     Reply.Result_ = ReserveResult::NotReady;
     return Reply;
   }
@@ -192,13 +207,13 @@
     Reply.Result_ = ReserveResult::RecordsLost;
     return Reply;
   }
-  Record Made;
-  Made.Attempt_ = Request.Attempt_;
-  Made.LeaseUntil_ = Request.LeaseUntil_;
-  Made.ForgetAfter_ =
+  Record NewRecord;
+  NewRecord.Attempt_ = Request.Attempt_;
+  NewRecord.LeaseUntil_ = Request.LeaseUntil_;
+  NewRecord.ForgetAfter_ =
       std::max(Request.MintedAt_ + KeyWindow, Now) + 3 * ClockSkewMargin;
-  Made.Fingerprint_ = Request.Fingerprint_;
-  Item.Records_.emplace(Request.Name_, std::move(Made));
+  NewRecord.Fingerprint_ = Request.Fingerprint_;
+  Item.Records_.emplace(Request.Name_, std::move(NewRecord));
   return Reply;
 }
 
@@ -206,7 +221,7 @@
   BucketState &Item = State_->Buckets_[bucketOf(Name).value()];
   const auto [At, Added] = Item.Records_.try_emplace(Name, Final);
   if (!Added && At->second.Attempt_ == Final.Attempt_)
-    merge(At->second, Final);
+    mergeRecord(At->second, Final);
 }
 
 void ReplicaTable::abandon(const RecordName &Name, const AttemptId &Attempt) {
@@ -222,12 +237,12 @@
   std::vector<CopyRequest> Result;
   for (std::uint32_t B = 0; B < BucketCount; ++B) {
     const BucketState &Item = S.Buckets_[B];
-    if (!Item.Home_ || Item.Ready_)
+    if (!Item.IsReplica_ || Item.Ready_)
       continue;
-    for (const MemberId &Source : Item.Needs_.Sources_)
+    for (const MemberId &Source : Item.CatchUp_.Sources_)
       if (Source != S.Self_ && S.View_.find(Source) &&
-          !Item.Needs_.Copied_.contains(Source))
-        Result.push_back({S.Self_, Source, Bucket(B), Item.Needs_.Since_});
+          !Item.CatchUp_.Copied_.contains(Source))
+        Result.push_back({S.Self_, Source, Bucket(B), Item.CatchUp_.Since_});
   }
   return Result;
 }
@@ -239,12 +254,13 @@
   Reply.Source_ = S.Self_;
   Reply.Bucket_ = Request.Bucket_;
   Reply.Since_ = Request.Since_;
-  // Before it takes the new view this entry may still reserve keys under the
-  // old one, and the copy would lack them.
+  // Until it adopts the new view this entry may still reserve keys under the
+  // old one, which the copy would lack.
   if (S.View_.Number_ < Request.Since_)
     return Reply;
-  if (Item.ReadyThrough_.next() < Request.Since_) {
-    Reply.Result_ = Item.Home_ ? CopyResult::NotReady : CopyResult::Unavailable;
+  if (Item.LastReadyView_.next() < Request.Since_) {
+    Reply.Result_ =
+        Item.IsReplica_ ? CopyResult::NotReady : CopyResult::Unavailable;
     return Reply;
   }
   Reply.Result_ = CopyResult::Copied;
@@ -257,20 +273,20 @@
 void ReplicaTable::applyCopyReply(const CopyReply &Reply, TimePoint Now) {
   State &S = *State_;
   BucketState &Item = S.Buckets_[Reply.Bucket_.value() % BucketCount];
-  if (!Item.Home_ || Item.Ready_ || Reply.Since_ != Item.Needs_.Since_ ||
-      !contains(Item.Needs_.Sources_, Reply.Source_))
+  if (!Item.IsReplica_ || Item.Ready_ || Reply.Since_ != Item.CatchUp_.Since_ ||
+      !contains(Item.CatchUp_.Sources_, Reply.Source_))
     return;
   if (Reply.Result_ == CopyResult::Unavailable)
-    Item.Needs_.Never_.insert(Reply.Source_);
+    Item.CatchUp_.Unavailable_.insert(Reply.Source_);
   if (Reply.Result_ == CopyResult::Copied) {
-    Item.Needs_.Copied_.insert(Reply.Source_);
+    Item.CatchUp_.Copied_.insert(Reply.Source_);
     Item.RecordsLostBefore_ =
         std::max(Item.RecordsLostBefore_, Reply.RecordsLostBefore_);
     for (const NamedRecord &Row : Reply.Records_) {
       const auto [At, Added] =
           Item.Records_.try_emplace(Row.Name_, Row.Record_);
       if (!Added)
-        merge(At->second, Row.Record_);
+        mergeRecord(At->second, Row.Record_);
     }
   }
   S.refreshReadiness(Item, Now);
@@ -279,7 +295,7 @@
 std::uint64_t ReplicaTable::bucketsToCopy() const {
   return std::count_if(
       State_->Buckets_.begin(), State_->Buckets_.end(),
-      [](const BucketState &Item) { return Item.Home_ && !Item.Ready_; });
+      [](const BucketState &Item) { return Item.IsReplica_ && !Item.Ready_; });
 }
 
 void ReplicaTable::tick(TimePoint Now) {
@@ -301,7 +317,7 @@
 std::size_t ReplicaTable::bucketsWithLostRecords(TimePoint Now) const {
   return std::count_if(State_->Buckets_.begin(), State_->Buckets_.end(),
                        [&](const BucketState &Item) {
-                         return Item.Home_ &&
+                         return Item.IsReplica_ &&
                                 Item.RecordsLostBefore_ + KeyWindow > Now;
                        });
 }
