--- a/src/cell/celltypes.h
+++ b/src/cell/celltypes.h
@@ -10,7 +10,8 @@
 
 #include <absl/status/statusor.h>
 
-/// Schedules jobs on workers: one entry at a time holds a cell and decides.
+/// Schedules jobs on workers. One entry at a time leads a cell and makes all
+/// its scheduling decisions.
 namespace laburnumspread::cell {
 
 using fleet::PoolName;
@@ -37,15 +38,16 @@
 using workers::WaveRecord;
 using workers::WorkerRecord;
 
-/// Bounds that the platform promises or asks for.
+/// Timing limits and factors of the platform that the scheduler relies on.
 struct CellBounds {
-  /// Longest lease that a worker grants to what runs on it.
+  /// Longest lease that a worker grants to the runs on it.
   Duration MaxLease_ = std::chrono::milliseconds(6000);
   Duration StatusRetention_ = std::chrono::seconds(120);
   Duration GangTimeout_ = std::chrono::milliseconds(3000);
-  /// Least time between the machine orders of two holders.
+  /// Minimum time between machine orders of two successive leaders.
   Duration MachineOrderLease_ = std::chrono::milliseconds(3000);
-  /// Gives a job's data far away this many times the run time.
+  /// Run time of a job relative to its normal run time when its data is in
+  /// another location.
   double RemoteDataFactor_ = 3;
   Duration MoveDuration_ = std::chrono::milliseconds(1500);
   Duration UpkeepDuration_ = std::chrono::milliseconds(2000);
@@ -54,31 +56,33 @@
   bool operator==(const CellBounds &) const = default;
 };
 
-// What a worker says and is told.
+// Orders to workers and their replies.
 
 enum class OrderResult {
-  /// Carried out, or it was so already.
+  /// Executed by this order, or by an earlier identical one.
   Done,
-  /// A higher fencing token has been seen there.
+  /// The worker has seen a higher fencing token.
   Fenced,
-  /// Not above a run that was stopped or has ended there.
+  /// The run number is not higher than that of a run that was stopped or has
+  /// ended on the worker.
   OldRun,
   TooLate,
   NoRoom,
   BadTicket,
   Malformed,
-  /// The worker is unhealthy and has done nothing.
+  /// The worker is unhealthy and did nothing.
   Unhealthy,
-  /// Another life of the worker answers at the address.
+  /// The process at the worker's address is another life of the worker.
   OtherLife,
-  /// No answer: it may have been carried out, or may yet be.
+  /// No reply: the order may have been executed, or may still be executed
+  /// later.
   Unknown,
 };
 std::string_view nameOf(OrderResult Result);
 
 struct OrderReply {
   OrderResult Result_ = OrderResult::Unknown;
-  /// The worker's own clock; 0 when it was not told.
+  /// The worker's clock in milliseconds; 0 if the reply did not carry it.
   std::int64_t ClockMs_ = 0;
 };
 
@@ -92,10 +96,12 @@
 };
 
 struct HoldOrder {
-  /// Lease end on the worker's clock; 0 only looks.
+  /// Requested end of the lease on the worker's clock; 0 requests a report
+  /// without renewing the lease.
   std::int64_t DeadlineMs_ = 0;
   jobs::FencingToken Token_;
-  /// Ends up to this number have been taken note of.
+  /// The leader has stored all run ends up to this number, so the worker may
+  /// drop them.
   std::uint64_t AcknowledgedEnds_ = 0;
   Duration Wait_{};
 };
@@ -104,8 +110,8 @@
   jobs::RunName Run_;
   jobs::Checkpoint Saved_;
   int Percent_ = 0;
-  /// Tail latency in milliseconds of a task that serves, else the processor
-  /// use in thousandths of a core.
+  /// Tail latency in milliseconds for serving tasks, CPU usage in thousandths
+  /// of a core for all others.
   std::int64_t Measurement_ = 0;
 };
 
@@ -123,7 +129,8 @@
   std::vector<EndReport> Ends_;
 };
 
-/// Orders to a worker. Every answer carries what is known for certain.
+/// Sends orders to a worker. Each call waits at most the given time; if there
+/// was no reply, the result is Unknown.
 template <typename T>
 concept WorkerClient = requires(T &C, const WorkerRecord &To,
                                 const StartOrder &Start, const HoldOrder &Hold,
@@ -137,15 +144,15 @@
   C.forget(To);
 };
 
-/// What a call to the platform's machine service came to.
+/// Result of a call to the platform's machine service.
 enum class MachineResult {
   Done,
   Fenced,
-  /// Not up, or leaving.
+  /// The machine is not up, or is leaving.
   Busy,
   WrongWave,
   Malformed,
-  /// Too many calls; nothing was done.
+  /// The rate limit was exceeded; nothing was done.
   Refused,
   Unknown,
 };
--- a/src/cell/internal/runtracker.cpp
+++ b/src/cell/internal/runtracker.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// Of stops that follow each other the first answer counts. One leaves after
-/// each report and is answered after the next hold has left: were the last
-/// answer to count, no hold would ever be later than it, and the run would stay
-/// in doubt for good.
+/// Of several stops, the time of the first reply counts. A stop is sent after
+/// each report and answered after the next hold has been sent, so with the last
+/// reply no hold would ever be later than it, and the run would never be
+/// settled.
 void setIfEmpty(std::optional<TimePoint> &At, TimePoint Now) {
   if (!At)
     At = Now;
@@ -23,7 +23,7 @@
 void RunTracker::startSent(const RunName &Run, std::int64_t DeadlineMs) {
   StartState &Sent = Starts_[Run];
   Sent.DeadlineMs_ = DeadlineMs;
-  // This attempt may reach a life that has stopped nothing yet.
+  // This attempt may reach a later life that has not executed a stop yet.
   Sent.StoppedByLaterLifeAt_.reset();
   ++Sent.Unanswered_;
 }
@@ -42,8 +42,8 @@
       Live->Confirmed_ = true;
     return std::nullopt;
   }
-  // A refusal speaks of this attempt alone. After an unanswered one the run
-  // may be there, or may have been: the next holds tell.
+  // A refusal applies to this attempt only. If an earlier attempt was not
+  // answered, the run may be active or may have been; the next holds tell.
   if (Result == OrderResult::Unknown || Attempt > 0)
     return std::nullopt;
   return EndedRun{Run, EndKind::Refused, Checkpoint(), nameOf(Result)};
@@ -55,7 +55,7 @@
 }
 
 void RunTracker::stopAnswered(const RunName &Run, TimePoint Now) {
-  // Nothing forgets what is noted of a run that is over.
+  // State recorded for an ended run would never be removed.
   if (!Table_.findLive(Run))
     return;
   StartState &Known = Starts_[Run];
@@ -148,8 +148,8 @@
       if (Listed.contains(Run))
         continue;
       if (cannotStartOnLaterLife(Run, SentAt))
-        Into.Ended_.push_back(
-            {Run, EndKind::Lost, Checkpoint(), "its life is over"});
+        Into.Ended_.push_back({Run, EndKind::Lost, Checkpoint(),
+                               "the life of its worker has ended"});
       else
         Into.StaleStarts_.push_back(Run);
     }
--- a/src/cell/runstopper.h
+++ b/src/cell/runstopper.h
@@ -9,32 +9,32 @@
 
 namespace laburnumspread::cell {
 
-/// Stops what is to be gone from the workers of one term.
+/// Stops runs that should be gone, for one term.
 ///
-/// What has to be stopped follows from the tables at each report of a worker.
-/// An order to stop that was lost, or that could not leave when it was first
-/// called for (after a takeover, no worker is listed yet), would otherwise be
-/// missing for good, and the run would be kept alive by the very holds that
-/// list it.
+/// Which runs to stop is derived from the tables at each report of a worker.
+/// Otherwise a lost stop, or one that could not be sent when it was ordered (no
+/// worker is listed yet after a takeover), would never be sent again, and the
+/// holds that report the run would keep renewing its lease.
 template <store::KeyValueStore Store, WorkerClient Client>
 class RunStopper
     : public std::enable_shared_from_this<RunStopper<Store, Client>> {
 public:
   using TermPtr = std::shared_ptr<Term<Store>>;
 
-  /// Past this, a run that is to be stopped and still listed is told of.
+  /// A run that is still reported this long after it should be gone is logged.
   static constexpr Duration StopWarningDelay = std::chrono::milliseconds(1000);
 
   RunStopper(TermPtr T, Client &C, std::shared_ptr<RunTracker> Tracker)
       : Term_(std::move(T)), Client_(C), Tracker_(std::move(Tracker)) {}
 
-  /// Sends the stop of a run at once, if it can leave and none was answered.
+  /// Sends the stop of a run at once, unless it cannot be sent or one has been
+  /// answered.
   void stop(const jobs::RunName &Run) {
     if (!Tracker_->stopped(Run))
       sendStop(Run);
   }
 
-  /// Gives the stops that a report, asked for at \p SentAt, calls for.
+  /// Sends the stops that a report, requested at \p SentAt, makes necessary.
   void handleReport(const WorkerRow &Row, const HoldReply &Reply,
                     const RunTracker::Report &Report, TimePoint SentAt) {
     for (const RunningReport &Item : Reply.Running_)
@@ -51,7 +51,7 @@
 private:
   static TimePoint now() { return Term<Store>::now(); }
 
-  /// Sends stops of a live run, unless some are on their way.
+  /// Starts sending stops for a live run, unless that is in progress.
   void sendStop(const jobs::RunName &Run) {
     jobs::LiveRun *Live = Term_->Table_.findLive(Run);
     if (!Live)
@@ -66,8 +66,8 @@
     });
   }
 
-  /// Sends the stop until it is answered or the run is over. Gives up when it
-  /// cannot leave: the worker's next report asks for it again.
+  /// Repeats the stop until it is answered or the run has ended. Gives up if it
+  /// cannot be sent; the worker's next report triggers it again.
   void stopRun(const jobs::RunName &Run) {
     while (!Term_->ended()) {
       const jobs::LiveRun *Live = Term_->Table_.find(Run);
@@ -92,7 +92,7 @@
                                 : "its worker is not listed");
   }
 
-  /// True when no other attempt is needed.
+  /// Returns true if no further attempt is needed.
   bool stopOnce(WorkerRowPtr Row, const jobs::RunName &Run) {
     const TimePoint SentAt = now();
     const auto Since = Term_->Table_.unwantedSince(Run);
@@ -107,15 +107,15 @@
         .field("result", nameOf(Reply.Result_));
     if (Reply.Result_ == OrderResult::Done)
       Tracker_->stopAnswered(Run, now());
-    // What is on its way to the former life may begin on the new one, whose
-    // reports settle it.
+    // A start in transit to the former life may still be executed by the new
+    // one, whose reports settle it.
     if (Reply.Result_ == OrderResult::OtherLife)
-      Term_->markLifeEnded(*Row, "another life answers");
+      Term_->markLifeEnded(*Row, "another life of the worker replied");
     return Reply.Result_ == OrderResult::Done ||
            Reply.Result_ == OrderResult::OtherLife;
   }
 
-  /// Says once that a run is listed as at work long after it was to be gone.
+  /// Logs once that a run is still reported long after it should be gone.
   void warnIfStillRunning(const WorkerRow &Row, const jobs::RunName &Run) {
     const auto Since = Term_->Table_.unwantedSince(Run);
     jobs::LiveRun *Live = Term_->Table_.findLive(Run);
@@ -132,8 +132,8 @@
     Term_->Metrics_.counter("runs_on_total").add();
   }
 
-  /// A run that the journal does not know of as live there: an order of an
-  /// earlier time that was carried out late.
+  /// Stops a run that the journal does not show as live on this worker: an
+  /// order of an earlier time that was executed late.
   void stopUnknown(const WorkerRow &Row, const jobs::RunName &Run) {
     if (!InFlight_.insert(Run).second)
       return;
@@ -141,25 +141,26 @@
         .field("task", Run.Task_.str())
         .field("run", Run.Run_.value())
         .field("worker", Row.Record_.Incarnation_.Id_.str());
-    framework::fibers::spawn(
-        [Self = this->shared_from_this(), Record = Row.Record_, Run] {
-          Self->sendUntrackedStop(Record, Run,
-                                  "the journal does not know it there");
-          Self->InFlight_.erase(Run);
-        });
+    framework::fibers::spawn([Self = this->shared_from_this(),
+                              Record = Row.Record_, Run] {
+      Self->sendUntrackedStop(Record, Run,
+                              "the journal does not show it on this worker");
+      Self->InFlight_.erase(Run);
+    });
   }
 
-  /// Stops a run of a former life on the one that may have taken its start.
+  /// Stops a run of a former life on the life that may have executed its start.
   void stopStaleStart(const WorkerRow &Row, const jobs::RunName &Run) {
-    framework::fibers::spawn(
-        [Self = this->shared_from_this(), Record = Row.Record_, Run] {
-          if (Self->sendUntrackedStop(Record, Run, "meant for its former life"))
-            Self->Tracker_->stopAnsweredByLaterLife(Run, now());
-        });
+    framework::fibers::spawn([Self = this->shared_from_this(),
+                              Record = Row.Record_, Run] {
+      if (Self->sendUntrackedStop(
+              Record, Run, "its start was sent to a former life of the worker"))
+        Self->Tracker_->stopAnsweredByLaterLife(Run, now());
+    });
   }
 
-  /// One stop of a run that the tables do not show on this life. True when it
-  /// was carried out.
+  /// Sends one stop for a run that the tables do not show on this life. Returns
+  /// true if it was executed.
   bool sendUntrackedStop(const WorkerRecord &Record, const jobs::RunName &Run,
                          std::string_view Reason) {
     const OrderReply Reply =
@@ -176,7 +177,7 @@
   TermPtr Term_;
   Client &Client_;
   std::shared_ptr<RunTracker> Tracker_;
-  /// Runs for which a fiber sends stops at present.
+  /// Runs for which a fiber is currently sending stops.
   std::set<jobs::RunName> InFlight_;
 };
 
--- a/src/cell/runtracker.h
+++ b/src/cell/runtracker.h
@@ -8,24 +8,27 @@
 
 namespace laburnumspread::cell {
 
-/// Tells which runs are over, from what was sent to workers and what they say.
+/// Determines which runs have ended, from the orders sent to workers and their
+/// reports.
 ///
-/// A task may start again only when each earlier run of it is over for good: it
-/// works no more and can never begin. An order without an answer may have been
-/// carried out, or may be carried out seconds later, so silence proves nothing.
-/// A run is over when
-///  - its worker lists its end, or
-///  - a hold that was sent after the start was settled does not list it, or
-///  - a hold does not list it, and its start's deadline has passed on the
-///    worker's own clock, and no further attempt is on its way, or
-///  - a hold does not list it and an earlier holder ordered it: the worker
-///    refuses that holder's token from this hold on, or
+/// A task may be started again only once each of its earlier runs has ended for
+/// good: it is not active and can never start. An order without a reply may
+/// have been executed, or may be executed seconds later, so a missing reply
+/// proves nothing. A run has ended when
+///
+///  - its worker reports its end, or
+///  - a hold that was sent after the start was settled does not report it, or
+///  - a hold does not report it, the deadline of its start has passed on the
+///    worker's clock, and no further attempt will be sent, or
+///  - a hold does not report it and an earlier leader ordered it: after this
+///    hold the worker refuses that leader's token, or
 ///  - the worker refuses the first and only attempt to start it.
 ///
-/// A worker process that starts again may keep its id, and takes a start that
-/// was meant for its former life: its clock begins anew, so no deadline stops
-/// it. A run of a former life is over only when the new one does not list it
-/// and no attempt without an answer is left, or the new life has stopped it.
+/// A restarted worker process may keep its id and execute a start that was sent
+/// to its former life. Its clock starts anew, so the deadline does not prevent
+/// that. A run of a former life has ended only when the new life does not
+/// report it and either no attempt is unanswered or the new life has executed a
+/// stop for it.
 class RunTracker {
 public:
   struct EndedRun {
@@ -35,72 +38,76 @@
     std::string_view Reason_;
   };
 
-  /// What a worker's report comes to.
+  /// Result of processing a worker's report.
   struct Report {
     std::vector<EndedRun> Ended_;
-    /// Runs that the journal does not know of as live there: orders of an
-    /// earlier time that were carried out late.
+    /// Runs that the journal does not show as live on this worker: orders of an
+    /// earlier time that were executed late.
     std::vector<jobs::RunName> Unknown_;
-    /// Runs of former lives that may begin on this one: to be stopped there.
+    /// Runs of former lives that may still start on this one and have to be
+    /// stopped here.
     std::vector<jobs::RunName> StaleStarts_;
   };
 
-  /// A run that was told to stop is gone after this: the platform's word is a
-  /// fifth of a second, and the worker's clock may be slow.
+  /// A run is gone at most this long after its stop was answered. The platform
+  /// specifies 200 ms; the worker's clock may run slow.
   static constexpr Duration MaxStopDuration = std::chrono::milliseconds(300);
 
   explicit RunTracker(jobs::CellTable &Table) : Table_(Table) {}
 
-  /// The intent of a run was staged by this holder.
+  /// Records that this leader has staged the intent of a run.
   void runStaged(const jobs::RunName &Run) { Staged_.insert(Run); }
 
-  /// An attempt to start leaves, to be carried out by \p DeadlineMs of the
-  /// worker's clock.
+  /// Records that an attempt to start is being sent, to be executed by \p
+  /// DeadlineMs on the worker's clock.
   void startSent(const jobs::RunName &Run, std::int64_t DeadlineMs);
-  /// An attempt was answered. Returns how the run has ended if it has.
+  /// Records the reply to an attempt. Returns how the run ended, or nullopt if
+  /// it has not.
   std::optional<EndedRun> startAnswered(const jobs::RunName &Run,
                                         OrderResult Result, int Attempt,
                                         TimePoint Now);
-  /// No further attempt will be sent.
+  /// Records that no further attempt will be sent.
   void noMoreStarts(const jobs::RunName &Run);
-  /// A stop was carried out: from now on the run can only be listed as ended,
-  /// or not at all.
+  /// Records that a stop was executed: the run can no longer be reported as
+  /// running.
   void stopAnswered(const jobs::RunName &Run, TimePoint Now);
-  /// The same by a later life of the worker that the run was meant for.
+  /// The same for a stop executed by a later life of the worker that the run
+  /// was sent to.
   void stopAnsweredByLaterLife(const jobs::RunName &Run, TimePoint Now);
-  /// Live runs on \p Worker that are to be gone: their job has ended, or a stop
-  /// was ordered. Told from the tables alone, so that a stop may be lost, or
-  /// its need be left to a later holder, at any moment: whoever asks after each
-  /// report of the worker misses none. Without those whose stop was answered
-  /// less than MaxStopDuration before \p AsOf, when the report was asked for:
-  /// they may still be listed.
+  /// Returns the live runs on \p Worker that should be gone because their job
+  /// has ended or a stop was ordered. The result depends on the tables alone,
+  /// so a lost stop, or one left to the next leader, is found again by calling
+  /// this after each report. Excludes runs whose stop was answered less than
+  /// MaxStopDuration before \p AsOf, the time at which the report was
+  /// requested: they may still be reported.
   std::vector<jobs::RunName> unwanted(const WorkerIncarnation &Worker,
                                       TimePoint AsOf) const;
   /// Whether a stop of the run has been answered.
   bool stopped(const jobs::RunName &Run) const;
-  /// Whether a run of a life before \p Worker may still begin.
+  /// Whether a run of an earlier life than \p Worker may still start.
   bool mayRunStaleStarts(const WorkerIncarnation &Worker) const;
 
-  /// A worker's report that answers a hold sent at \p SentAt. Ends up to
-  /// \p EndsStaged have been taken already. Notes what runs in the table.
+  /// Processes the report that answers a hold sent at \p SentAt, and updates
+  /// the live runs in the table. Ends up to \p EndsStaged have been processed
+  /// before.
   Report processReport(const WorkerIncarnation &Worker, const HoldReply &Reply,
                        TimePoint SentAt, std::uint64_t EndsStaged);
 
-  /// The run is over and staged as such.
+  /// Drops the state of a run whose end has been staged.
   void forget(const jobs::RunName &Run);
 
 private:
   struct StartState {
     std::int64_t DeadlineMs_ = 0;
-    /// When an answer settled it; empty while it is in doubt.
+    /// When a reply settled the start; empty while it may still be executed.
     std::optional<TimePoint> SettledAt_;
     bool NoMoreStarts_ = false;
-    /// Attempts that have not been answered.
+    /// Attempts without a reply.
     std::uint32_t Unanswered_ = 0;
-    /// When its stop was last answered.
+    /// When the last stop was answered.
     std::optional<TimePoint> StoppedAt_;
-    /// When a life after the one that it was meant for had first stopped it,
-    /// since the last attempt left.
+    /// When a later life of the worker first executed a stop, since the last
+    /// attempt was sent.
     std::optional<TimePoint> StoppedByLaterLifeAt_;
   };
 
--- a/src/cell/term.h
+++ b/src/cell/term.h
@@ -9,9 +9,9 @@
 
 namespace laburnumspread::cell {
 
-/// One leadership of a cell from takeover to loss: the tables, and the queue to
-/// the journal. Everything that works for it holds it by shared ownership and
-/// stops when ended() holds.
+/// State of one leadership of a cell, from takeover to loss: the tables and the
+/// commit queue to the journal. All fibers that work for the term share
+/// ownership of it and stop once ended() returns true.
 template <store::KeyValueStore Store> struct Term {
   Term(Store &S, const journal::CellKeys &Keys,
        journal::Leadership<Store> &Leadership,
@@ -28,8 +28,8 @@
         .count();
   }
 
-  /// The worker's process is gone or has started again. What it ran is for the
-  /// caller to settle.
+  /// Marks a worker's life as ended: its process exited or was restarted. The
+  /// caller ends the runs that it had.
   void markLifeEnded(WorkerRow &Row, std::string_view Reason) {
     if (std::exchange(Row.Ended_, true))
       return;
@@ -43,7 +43,8 @@
 
   bool ended() const { return Ended_ || !Leadership_.holds(Reign_); }
 
-  /// Whether orders to workers may leave.
+  /// Whether orders may be sent to workers: the term is not over, and the store
+  /// confirmed the leadership recently enough.
   bool maySendOrders() const {
     return !ended() && now() - Leadership_.confirmedAt() < StoreOutageTolerance;
   }
@@ -80,14 +81,15 @@
 
   journal::Leadership<Store> &Leadership_;
   journal::TermNumber Reign_;
-  /// Rises when the head is written anew under this leadership.
+  /// Increases when this entry rewrites the head key during the same
+  /// leadership.
   jobs::FencingToken Token_;
   jobs::CellTable Table_;
   journal::Journal<Store> Log_;
   CommitQueue<Store> Commits_;
   WorkerTable Workers_;
-  /// Lives that are over, and since when. Their entries may stay listed for
-  /// some seconds.
+  /// Ended lives and when each ended. The platform's worker list may show them
+  /// for some seconds more.
   std::map<WorkerIncarnation, TimePoint> EndedLives_;
   CellConfig Config_;
   scheduling::RunTimeEstimator Estimates_;
@@ -95,10 +97,11 @@
   framework::metrics::Registry &Metrics_;
   CellBounds Bounds_;
   TimePoint StartedAt_;
-  /// Whether the journal has been read: before, nothing is known of any job.
+  /// Whether the journal has been replayed. Until then the tables are
+  /// incomplete.
   bool JournalLoaded_ = false;
   bool Ended_ = false;
-  /// A worker has refused the token: there is a later holder.
+  /// Set when a worker refused the fencing token: a later leader exists.
   bool Superseded_ = false;
 };
 
--- a/src/cell/termgauges.h
+++ b/src/cell/termgauges.h
@@ -5,17 +5,17 @@
 
 namespace laburnumspread::cell {
 
-/// What the holder of a cell shows of its term. An entry that leads nothing
-/// shows the default: the last figures of a former holder would be read as the
-/// cell's.
+/// Metrics of the leader's term. An entry that does not lead publishes default
+/// values; otherwise the last values of a former leader would look like the
+/// cell's current ones.
 struct TermGauges {
   std::uint64_t Token_ = 0;
   std::size_t JobsOpen_ = 0;
   std::size_t JobsKnown_ = 0;
   std::size_t RunsLive_ = 0;
   std::size_t RunsUnconfirmed_ = 0;
-  /// Runs that are to be gone, since their job has ended or they are being
-  /// stopped, and how long the oldest of them has been so.
+  /// Number of runs that should be gone, because their job has ended or they
+  /// are being stopped, and the time for which the oldest of them has been so.
   std::size_t RunsUnwanted_ = 0;
   framework::clock::Duration OldestUnwanted_{};
   std::size_t Workers_ = 0;
--- a/src/cell/workersessions.h
+++ b/src/cell/workersessions.h
@@ -7,32 +7,33 @@
 
 namespace laburnumspread::cell {
 
-/// Sessions to the workers of one term: keeps the leases of what runs, starts
-/// and stops tasks, and turns what workers say into events. RunTracker decides
-/// which runs are over; here is also the last resort, a lease that has run out
-/// unseen.
+/// Communicates with the workers of one term: renews the leases of runs, starts
+/// and stops tasks, and turns the workers' reports into events. RunTracker
+/// decides which runs have ended; this class also gives up runs whose lease
+/// must have expired on a worker that does not reply.
 template <store::KeyValueStore Store, WorkerClient Client>
 class WorkerSessions
     : public std::enable_shared_from_this<WorkerSessions<Store, Client>> {
 public:
   using TermPtr = std::shared_ptr<Term<Store>>;
 
-  /// A hold waits at the worker this long for an end; the platform allows 2 s.
-  /// A worker that has gone dark is noticed after this and the time for an
-  /// answer. All orders may be repeated, so a lost answer costs no more.
+  /// How long a hold may wait at the worker for a run to end; the platform
+  /// allows up to 2 s. A failed worker is detected after this time plus the
+  /// reply timeout. All orders are idempotent, so a lost reply costs no more
+  /// than that.
   static constexpr Duration HoldWait = std::chrono::milliseconds(800);
-  /// The same where finite tasks run: a lost answer hides their ends for as
-  /// long, and the next ones cannot start. Each hold is paid for, but there
-  /// most are answered by an end before this anyway.
+  /// The same for workers with finite tasks. While a reply is lost, their ends
+  /// remain unknown and no new tasks can start in their place. Each hold is
+  /// billed, but there most of them return early because a task ends.
   static constexpr Duration BusyHoldWait = std::chrono::milliseconds(250);
   static constexpr Duration RetryPause = OrderRetryPause;
-  /// A start that arrives later than this after it was sent does nothing.
+  /// A worker ignores a start that arrives later than this after it was sent.
   static constexpr Duration StartWindow = std::chrono::milliseconds(1500);
   static constexpr Duration IdleCheckInterval = std::chrono::milliseconds(500);
-  /// As many as fit into the window.
+  /// As many attempts as fit into StartWindow.
   static constexpr int StartAttempts = 6;
   static constexpr double DistrustPerFailure = 1;
-  /// In the log, of a worker that has not answered this holder yet.
+  /// Logged for a worker that has not replied to this leader yet.
   static constexpr std::int64_t NeverAnswered = -1;
 
   WorkerSessions(TermPtr T, Client &C)
@@ -42,7 +43,7 @@
             std::make_shared<RunStopper<Store, Client>>(Term_, C, Tracker_)),
         Fillers_(Term_, Client_) {}
 
-  /// Starts the session of a worker that has just come up.
+  /// Starts the session of a newly listed worker.
   void open(const WorkerRowPtr &Row) {
     framework::fibers::spawn(
         [Self = this->shared_from_this(), Row] { Self->runSession(Row); });
@@ -54,14 +55,14 @@
         [Self = this->shared_from_this(), Item] { Self->startRun(Item); });
   }
 
-  /// Stops a run and makes sure that it cannot begin any more. The stop leaves
-  /// at once if it can; if not, or if it is not carried out, the worker's
-  /// reports call for it.
+  /// Stops a run and ensures that it can no longer start. The stop is sent at
+  /// once if possible; if it cannot be sent or is not executed, the worker's
+  /// next reports trigger it again.
   void stop(const jobs::RunName &Run) { Stopper_->stop(Run); }
 
-  /// The worker's life is over, and with it all that ran on it. With \p
-  /// SameId its process has started again under its id: what is on its way to
-  /// the former life may begin on the new one, which its session settles.
+  /// Ends a worker's life and its runs. If \p SameId, the worker was restarted
+  /// under the same id: orders in transit to the earlier life may still be
+  /// executed by the new one, whose session then settles those runs.
   void endLife(WorkerRow &Row, std::string_view Reason, bool SameId) {
     if (Row.Ended_)
       return;
@@ -70,7 +71,7 @@
       endAllLives(Row.Record_.Incarnation_.Id_, Reason);
   }
 
-  /// No process answers to the id any more: the runs of all its lives are over.
+  /// Ends the runs of all lives of a worker id that no process uses any more.
   void endAllLives(const WorkerId &Id, std::string_view Reason) {
     std::vector<WorkerIncarnation> Lives;
     for (const auto &[Life, Use] : Term_->Table_.workers())
@@ -80,7 +81,7 @@
       loseRuns(Life, Reason);
   }
 
-  /// Ends all runs on a worker life that cannot be at work any more.
+  /// Ends all runs of a life that can no longer run anything, as Lost.
   void loseRuns(const WorkerIncarnation &Life, std::string_view Reason) {
     const jobs::WorkerUsage *Use = Term_->Table_.usageOf(Life);
     if (!Use)
@@ -119,9 +120,9 @@
            inUse(Row);
   }
 
-  /// A worker that fell silent is given nothing until it answers, so it is
-  /// asked again also when nothing can run there any more: it would stand empty
-  /// for good.
+  /// A worker that stopped replying receives no tasks until it replies. It is
+  /// therefore polled even when nothing can run on it, or it would stay empty
+  /// forever.
   static bool listedButSilent(const WorkerRow &Row) {
     return Row.Listed_ && Row.Unanswered_ > 0;
   }
@@ -148,16 +149,16 @@
     if (Reply.Result_ == OrderResult::Done)
       return handleReport(Row, Reply, Order, SentAt);
     if (Reply.Result_ == OrderResult::OtherLife)
-      return endLife(Row, "another life answers", true);
+      return endLife(Row, "another life of the worker replied", true);
     if (Reply.Result_ == OrderResult::Fenced && Order.Token_ == Term_->Token_)
       Term_->Superseded_ = true;
     handleNoAnswer(Row, Reply.Result_);
-    // The first look follows at once: what ended meanwhile waits for it.
+    // The first retry is sent at once, because run ends may be waiting there.
     if (Row.Unanswered_ > 1)
       framework::fibers::sleepFor(inUse(Row) ? RetryPause : IdleCheckInterval);
   }
 
-  /// Where only strays are at work the lease is left to run out.
+  /// If only unknown runs are active on the worker, its lease is not renewed.
   HoldOrder nextHold(WorkerRow &Row) const {
     if (Row.HasUnknownRuns_ && !inUse(Row))
       return Row.nextPoll(Term_->Token_, BusyHoldWait);
@@ -189,7 +190,7 @@
     if (!Row.leaseExpired(now(), Term_->inheritedLeaseExpiry()))
       return;
     Row.HasUnknownRuns_ = false;
-    loseRuns(Row.Record_.Incarnation_, "lease ran out unseen");
+    loseRuns(Row.Record_.Incarnation_, "no reply, and the lease has expired");
   }
 
   void handleReport(WorkerRow &Row, const HoldReply &Reply,
@@ -222,8 +223,8 @@
     awaitEndsStored(Row, Reply);
   }
 
-  /// Waits until the listed ends are stored, so that the next hold can tell the
-  /// worker that they are noted.
+  /// Waits until the reported ends are stored, so that the next hold can
+  /// acknowledge them to the worker.
   void awaitEndsStored(WorkerRow &Row, const HoldReply &Reply) {
     std::uint64_t Last = Row.EndsStaged_;
     for (const EndReport &Item : Reply.Ends_)
@@ -241,8 +242,8 @@
     Ready->waitUntil(framework::clock::wallDeadline(HoldWait));
   }
 
-  /// Learns from an end how far the callers' estimates are off, and how far
-  /// the worker is to be trusted.
+  /// Updates the run time estimates and the worker's failure score from the end
+  /// of a run.
   void learnFromEnd(WorkerRow &Row, const EndReport &Item) {
     if (Item.Kind_ == jobs::EndKind::Failed)
       Row.Distrust_ += DistrustPerFailure;
@@ -285,7 +286,7 @@
     stopRunsOfEndedJob(Run.Task_.Job_);
   }
 
-  /// Logs a job's end, with the task whose end brought it about.
+  /// Logs the end of a job, with the task whose end caused it.
   void logJobEnded(const jobs::JobRow &Job, const jobs::TaskName &Last) {
     const QueueConfig *Queue = Term_->Config_.find(Job.Spec_.Queue_);
     const bool Late =
@@ -306,7 +307,7 @@
                static_cast<std::uint64_t>(Task ? Task->Failures_ : 0));
   }
 
-  /// A job that has ended has no use for what is still live of it.
+  /// Stops the remaining runs of a job that has ended.
   void stopRunsOfEndedJob(const jobs::JobId &Id) {
     const jobs::JobRow *Job = Term_->Table_.find(Id);
     if (!Job || Job->LiveRuns_ == 0 || !Job->ended())
@@ -315,7 +316,7 @@
   }
 
 public:
-  /// Stops everything that is live of a job.
+  /// Stops all live runs of a job.
   void stopJob(const jobs::JobId &Id) {
     const jobs::JobRow *Job = Term_->Table_.find(Id);
     if (!Job)
@@ -332,7 +333,7 @@
       stop(Run);
   }
 
-  /// Notes that the intent of a run has been staged by this holder.
+  /// Records that this leader has staged the intent of a run.
   void runStaged(const jobs::RunName &Run) {
     Tracker_->runStaged(Run);
     Fillers_.started(Run);
@@ -372,15 +373,15 @@
             .count();
     Row->recordOrder(Order.DeadlineMs_, now(), Term_->Bounds_.MaxLease_);
     Row->wake();
-    // A run that holds have settled meanwhile needs no further attempt; one
-    // could only do harm at a worker that has started again.
+    // Reports may have settled the run meanwhile. Then another attempt is not
+    // needed and could be executed by a restarted worker.
     for (int Attempt = 0; Attempt < StartAttempts; ++Attempt)
       if (!Term_->Table_.find(Run) || attemptStart(*Row, Order, Attempt))
         break;
     Tracker_->noMoreStarts(Run);
   }
 
-  /// One attempt. True when no other is needed.
+  /// Sends one start. Returns true if no further attempt is needed.
   bool attemptStart(WorkerRow &Row, const StartOrder &Order, int Attempt) {
     Tracker_->startSent(Order.Run_, Order.DeadlineMs_);
     const TimePoint SentAt = now();
@@ -402,7 +403,7 @@
     const auto Ended =
         Tracker_->startAnswered(Run, Reply.Result_, Attempt, now());
     if (Reply.Result_ == OrderResult::OtherLife)
-      endLife(Row, "another life answers", true);
+      endLife(Row, "another life of the worker replied", true);
     const scheduling::StepName Step{Run.Task_.Job_, Run.Task_.Occurrence_,
                                     Run.Task_.Step_};
     if (Reply.Result_ == OrderResult::BadTicket)
--- a/src/cell/workertable.h
+++ b/src/cell/workertable.h
@@ -10,92 +10,98 @@
 
 namespace laburnumspread::cell {
 
-/// A worker's steady clock may run this much slow (the platform's word), so a
-/// lease may last longer by our clock.
+/// Lowest rate of a worker's steady clock relative to real time, as the
+/// platform specifies it. On the leader's clock a lease may therefore last
+/// longer.
 constexpr double MinClockRate = 0.98;
 
-/// Added where times of two machines are compared.
+/// Safety margin for comparing times of two machines.
 constexpr Duration ClockSkewMargin = std::chrono::milliseconds(300);
 
-/// An order to a worker process that has started again since is carried out
-/// within this time, or went with the connection.
+/// An order addressed to an earlier life of a restarted worker is executed
+/// within this time, or it is lost with the connection.
 constexpr Duration MaxStaleOrderDelay = std::chrono::milliseconds(1000);
 
-/// How long a holder that the store does not confirm goes on renewing what
-/// runs. Long enough that work outlives an outage of the store of this time and
-/// a lease; a successor waits as long before it gives up on a worker that it
-/// cannot reach.
+/// Time for which a leader without confirmation from the store keeps renewing
+/// leases. Runs survive a store outage of up to this time plus one lease. A
+/// successor waits equally long before it gives up an unreachable worker.
 constexpr Duration StoreOutageTolerance = std::chrono::milliseconds(4000);
 
-/// After this, nothing that an earlier holder ordered runs on a worker that has
-/// not been heard since the takeover at \p Begun: the earlier one went on for
-/// StoreOutageTolerance at the most, and what it ordered last has lapsed.
+/// Returns the time after which no run that an earlier leader ordered can still
+/// be active on a worker that has not replied since the takeover at \p Begun.
+/// The earlier leader sent orders for at most StoreOutageTolerance more, and
+/// the leases of its last orders have expired by then.
 inline TimePoint inheritedLeaseExpiry(TimePoint Begun, Duration MaxLease) {
   const auto Lease = Duration(static_cast<std::int64_t>(
       static_cast<double>(MaxLease.count()) / MinClockRate));
   return Begun + StoreOutageTolerance + Lease + ClockSkewMargin;
 }
 
-/// Orders without an answer with which a worker stays in use. One lost answer
-/// is common where orders are carried out late, and the next look tells within
-/// some tenths of a second; a dark worker gets a few starts more meanwhile.
+/// Highest number of consecutive unanswered orders with which a worker still
+/// receives new tasks. Single lost replies are common when orders are executed
+/// late, and the next poll clears them up within a few tenths of a second.
+/// Meanwhile, a failed worker is sent a few more starts.
 constexpr std::uint32_t MaxUnansweredInUse = 1;
 
-/// Bounds of the wait for a worker's answer. A worker answers within some
-/// milliseconds; an entry whose processor time is a quota stands still for up
-/// to a tenth of a second, which must not look like a lost answer.
+/// Bounds of the timeout for a worker's reply. Workers reply within
+/// milliseconds, but an entry under a CPU quota can be paused for up to 100 ms,
+/// which must not count as a lost reply.
 constexpr Duration MinAnswerTimeout = std::chrono::milliseconds(120);
 constexpr Duration MaxAnswerTimeout = std::chrono::milliseconds(300);
 
-/// Before an order without an answer is sent again.
+/// Delay before an order without a reply is sent again.
 constexpr Duration OrderRetryPause = std::chrono::milliseconds(150);
 
-/// What the holder knows of one life of a worker.
+/// The leader's view of one life of a worker.
 struct WorkerRow {
   WorkerRecord Record_;
-  /// Whether the platform's store lists it.
+  /// Whether the platform's worker list contains it.
   bool Listed_ = true;
-  /// Whether it has answered under this leadership: its list of runs is known
-  /// and it refuses orders of earlier holders.
+  /// Whether it has replied to this leader. Then its runs are known, and it
+  /// refuses orders of earlier leaders.
   bool Synced_ = false;
-  /// A run of a former life may still begin here.
+  /// A start that was sent to an earlier life of this worker may still be
+  /// executed here.
   bool MayRunStaleStarts_ = false;
-  /// It lists runs that the journal does not know of there. It is looked at
-  /// until they are gone: a lost order to stop one is then given again.
+  /// The worker reports runs that the journal does not show on it. It is polled
+  /// until they are gone, so that a lost stop is sent again.
   bool HasUnknownRuns_ = false;
-  /// Known to be over: everything that ran on it is gone.
+  /// The life has ended, and all runs on it are gone.
   bool Ended_ = false;
-  /// The worker's clock as it last told, and when that was heard.
+  /// Latest known reading of the worker's clock, and the local time at which it
+  /// was received.
   std::int64_t ClockMs_ = 0;
   TimePoint ClockAt_{};
-  /// Latest time at which something ordered by this holder may still run
-  /// without a further order.
+  /// Latest time at which a run ordered by this leader can be active without
+  /// further orders.
   TimePoint LeaseExpiry_{};
   TimePoint AnsweredAt_{};
-  /// When this holder saw its entry first.
+  /// When this leader first saw the worker in the platform's list.
   TimePoint ListedAt_{};
-  /// Orders without an answer since the last one with.
+  /// Consecutive orders without a reply.
   std::uint32_t Unanswered_ = 0;
-  /// Ends up to here are stored, or are staged.
+  /// Run ends up to these numbers are stored in the journal, are staged, or
+  /// have been acknowledged to the worker.
   std::uint64_t EndsStored_ = 0;
   std::uint64_t EndsStaged_ = 0;
   std::uint64_t EndsAcknowledged_ = 0;
-  /// Pace of the tasks that only fill.
+  /// Controls the pace of the filler tasks on this worker.
   scheduling::Pacer Pace_;
-  /// Runs that failed or hung there, fading.
+  /// Score of the runs that failed or hung on this worker; decays over time.
   double Distrust_ = 0;
   framework::fibers::WaiterPtr Wake_;
   framework::clock::AnswerTime Answers_{MinAnswerTimeout, MaxAnswerTimeout};
 
-  /// The worker's clock now, by its last word.
+  /// Estimates the worker's clock at \p Now from its last known reading.
   std::int64_t clockMs(TimePoint Now) const {
     return ClockMs_ +
            std::chrono::duration_cast<std::chrono::milliseconds>(Now - ClockAt_)
                .count();
   }
 
-  /// Learns from one call how long this worker's answers take. An answer
-  /// before \p Expected was given for an end and tells nothing.
+  /// Updates the estimate of how long this worker's replies take. A reply
+  /// received before \p Expected was triggered by the end of a run and is
+  /// ignored.
   void recordAnswer(OrderResult Result, TimePoint Expected, TimePoint Now) {
     if (Result == OrderResult::Unknown)
       Answers_.missed();
@@ -104,17 +110,18 @@
   }
 
   void updateClock(std::int64_t Told, TimePoint Now) {
-    // Answers on different connections may overtake each other.
+    // Replies on different connections may arrive out of order.
     if (Told < ClockMs_)
       return;
     ClockMs_ = Told;
     ClockAt_ = Now;
   }
 
-  /// Notes that an order with this lease end leaves. The worker's clock is past
-  /// its last word and may run slow, so the end by our clock is the later one.
-  /// A process that has started again has a clock of its own, on which the
-  /// deadline lies far ahead: there the order lasts for the longest lease.
+  /// Extends LeaseExpiry_ for an order that is about to be sent. The worker's
+  /// clock has advanced since its last reading and may run slow, so its
+  /// deadline maps to a later local time. A restarted process has a new clock,
+  /// on which the deadline lies far in the future; there the order is limited
+  /// by the longest lease only.
   void recordOrder(std::int64_t DeadlineMs, TimePoint Now, Duration Longest) {
     const double Left = static_cast<double>(DeadlineMs - ClockMs_) * 1000.0;
     const auto Span =
@@ -125,7 +132,7 @@
         {LeaseExpiry_, ClockAt_ + Span, Now + MaxStaleOrderDelay + Anew});
   }
 
-  /// A hold that asks for a report and renews no lease.
+  /// Returns an order that requests a report without renewing the lease.
   HoldOrder nextPoll(jobs::FencingToken Token, Duration Wait) const {
     HoldOrder Order;
     Order.Token_ = Token;
@@ -134,9 +141,9 @@
     return Order;
   }
 
-  /// The next hold to send. A worker that has not answered the last one is only
-  /// looked at: a hold that renews its lease might arrive, and the runs there
-  /// could then never be given up.
+  /// Returns the next hold to send. A worker that did not reply to the last one
+  /// is only polled: a renewal could be executed while its replies are lost,
+  /// and the leader could then never assume that the runs there have expired.
   HoldOrder nextRenewal(TimePoint Now, jobs::FencingToken Token, Duration Lease,
                         Duration Wait) {
     HoldOrder Order = nextPoll(Token, Duration::zero());
@@ -150,15 +157,15 @@
     return Order;
   }
 
-  /// Whether nothing that was ordered to the worker can still run, though it
-  /// says nothing: what this holder ordered has run out, or, where the worker
-  /// has not answered this holder yet, what earlier ones ordered has.
+  /// Whether nothing that was ordered to this silent worker can still be
+  /// running: all orders of this leader have expired or, if the worker has
+  /// never replied to this leader, those of earlier ones.
   bool leaseExpired(TimePoint Now, TimePoint InheritedExpiry) const {
     return Now > (Synced_ ? LeaseExpiry_ + ClockSkewMargin : InheritedExpiry);
   }
 
-  /// The worker has answered this holder for the first time. What an earlier
-  /// one ordered there may run for a whole lease from now on.
+  /// Records the first reply to this leader. Runs ordered by an earlier leader
+  /// may go on for one full lease from now.
   void markSynced(TimePoint Now, Duration Longest) {
     Synced_ = true;
     const auto Span = Duration(static_cast<std::int64_t>(
@@ -166,13 +173,14 @@
     LeaseExpiry_ = std::max(LeaseExpiry_, Now + Span);
   }
 
-  /// Whether a list that tells of the time \p ListOf may say that the worker is
-  /// gone: it does not answer, and has neither answered nor come up since then.
+  /// Whether a machine list as of \p ListOf may declare the worker gone: it
+  /// does not reply, and has neither replied nor been listed since then.
   bool silentSince(TimePoint ListOf) const {
     return Unanswered_ > 0 && std::max(AnsweredAt_, ListedAt_) < ListOf;
   }
 
-  /// It may be gone: it is given nothing until it answers.
+  /// Marks the worker as possibly gone. It receives no new tasks until it
+  /// replies.
   void suspect() {
     Unanswered_ = std::max(Unanswered_, MaxUnansweredInUse + 1);
     wake();
