--- a/src/cell/callergateway.h
+++ b/src/cell/callergateway.h
@@ -8,7 +8,7 @@
 
 namespace laburnumspread::cell {
 
-/// A caller's request about jobs, as it came in.
+/// A caller's request about jobs.
 struct CallerRequest {
   enum class Verb { Submit, Read, Cancel, Other };
 
@@ -22,20 +22,20 @@
 };
 
 enum class CallerStatus {
-  /// The job is stored, or cancelled.
+  /// The job is stored, or its cancellation is.
   Accepted,
   /// State_ holds the job's state.
   State,
-  /// Waiting_ holds the queue's count.
+  /// Waiting_ holds the number of waiting jobs of the queue.
   Waiting,
   NoSuchQueue,
   NoSuchJob,
   UnknownKey,
   Malformed,
-  /// Not taken, and this attempt never will be; RetryAfter_ says when to come
-  /// again.
+  /// The request was not accepted, nor will it be later; RetryAfter_ tells when
+  /// to try again.
   TryLater,
-  /// Whether it was taken is not known.
+  /// It is not known whether the request was accepted.
   Unknown,
 };
 std::string_view nameOf(CallerStatus Status);
@@ -48,26 +48,26 @@
   std::string Detail_;
 };
 
-/// Lets callers in by the configuration in force, and passes what they ask to
-/// the holder of the cell.
+/// Admits callers according to the configuration in force and forwards their
+/// requests to the leader of the cell.
 class CallerGateway {
 public:
-  /// Reads a job's body; the names in it are the platform's.
+  /// Parses the body of a job, in the platform's format.
   using ReadJob =
       std::function<absl::StatusOr<jobs::JobSpec>(std::string_view)>;
 
-  /// How long a call may wait for a holder to appear. A takeover after a
-  /// planned stop takes some tens of milliseconds; after a crash it takes
-  /// seconds, and the caller had better come again.
+  /// How long a call may wait for a leader. A takeover after a planned stop
+  /// takes tens of milliseconds. After a crash it takes seconds, and the caller
+  /// should rather retry.
   static constexpr Duration LeaderWait = std::chrono::milliseconds(80);
-  /// How long a call may wait for the holder's reply: far more than a commit
-  /// takes while the store answers, well within what a caller has.
+  /// How long a call may wait for the leader's reply: much longer than a commit
+  /// takes while the store responds, and well below the callers' timeouts.
   static constexpr Duration ReplyTimeout = std::chrono::milliseconds(1000);
-  /// Kept back from the caller's patience for the way of the answer.
+  /// Part of the caller's timeout that is reserved for sending the answer.
   static constexpr Duration AnswerMargin = std::chrono::milliseconds(100);
   static constexpr Duration RetryAfter = std::chrono::seconds(1);
-  /// A configuration that has not been confirmed for this long may be out of
-  /// date: keys may have been withdrawn or queues added since.
+  /// A configuration that was not confirmed for this long may be outdated: keys
+  /// may have been revoked or queues added since.
   static constexpr Duration MaxConfigAge = std::chrono::seconds(3);
 
   CallerGateway(CallRouter &Router, ReadJob Read,
@@ -96,7 +96,7 @@
     return framework::clock::SteadyClock().now() - ConfirmedAt_;
   }
 
-  /// Answers a request, and counts the answer and the time that it took.
+  /// Answers a request, and records the answer and its duration as metrics.
   CallerAnswer serve(const CallerRequest &Request);
 
 private:
--- a/src/cell/callrouter.h
+++ b/src/cell/callrouter.h
@@ -15,53 +15,53 @@
 using framework::clock::Duration;
 using framework::clock::TimePoint;
 
-/// What may have become of a call that was sent once or more.
+/// Counts the attempts to send a call that may have been accepted.
 class CallAttempts {
 public:
   void sent() { ++Unrejected_; }
-  /// One of the sent calls was turned down unread.
+  /// One of the attempts was rejected without being processed.
   void rejected() {
     if (Unrejected_ > 0)
       --Unrejected_;
   }
-  /// Whether some holder may have taken the call, or may yet.
+  /// Whether a leader may have accepted the call, or may still do so.
   bool mayHaveBeenAccepted() const { return Unrejected_ > 0; }
 
 private:
   std::uint32_t Unrejected_ = 0;
 };
 
-/// Brings callers' requests to the holder of the cell, wherever it is, and its
-/// replies back. Letters may get lost, so a call is sent again until a reply
-/// comes; all calls are idempotent.
+/// Sends callers' requests to the leader of the cell, in this process or
+/// another, and returns its replies. Messages may be lost, so a call is resent
+/// until a reply arrives; all calls are idempotent.
 class CallRouter {
 public:
   using ReplyFn = std::function<void(const peers::JobReply &)>;
 
-  /// How calls leave and where the holder is.
+  /// Access to the leader, locally and through the peers.
   struct Routes {
     /// Serves the call in this process if it leads.
     std::function<void(const peers::JobCall &, const ReplyFn &)> HandleLocally_;
     std::function<bool()> IsLeader_;
     std::function<journal::Leader()> Leader_;
-    /// Whether a holder is this very process.
+    /// Whether the given leader is this process.
     std::function<bool(const journal::Leader &)> IsThisProcess_;
     std::function<void(const journal::Leader &, const peers::JobCall &)> Send_;
   };
 
-  /// A reply takes some milliseconds between availability zones, and a commit
-  /// as many; a letter that was dropped is sent again after this.
+  /// Time after which an unanswered call is resent. A reply between
+  /// availability zones and a commit take a few milliseconds each.
   static constexpr Duration ResendInterval = std::chrono::milliseconds(120);
 
   explicit CallRouter(Routes P) : Routes_(std::move(P)) {}
 
-  /// Waits for the outcome. Without a holder by \p LeaderDeadline, or at \p
-  /// Deadline, the verdict is Refused if surely none has taken the call; else
-  /// it is Unknown at \p Deadline.
+  /// Waits for the reply of the leader. The verdict is Refused if no leader can
+  /// have accepted the call by \p LeaderDeadline or \p Deadline; if one may
+  /// have accepted it and no reply arrived, it is Unknown at \p Deadline.
   peers::JobReply call(peers::JobCall Call, TimePoint LeaderDeadline,
                        TimePoint Deadline);
 
-  /// Takes a reply that has come from the holder.
+  /// Delivers a reply from the leader to the waiting call.
   void handleReply(const peers::JobReply &Reply);
 
 private:
--- a/src/cell/candidacy.h
+++ b/src/cell/candidacy.h
@@ -7,32 +7,36 @@
 
 namespace laburnumspread::cell {
 
-/// Who should lead a cell: one holder schedules all of it, so an entry with
-/// more processor time and a wider link does it sooner and for more workers. A
-/// weaker one leads only when no stronger one has come forward.
+/// Decides how soon an entry campaigns for a cell. The leader schedules the
+/// whole cell, so an entry with more CPU time and network bandwidth does so
+/// faster and for more workers. An entry of lower weight leads only if no
+/// better one has campaigned.
 class Candidacy {
 public:
-  /// Wait of an entry that is far weaker than the strongest: some times what a
-  /// campaign takes, a fraction of the lease that ran out before.
+  /// Delay of an entry with far lower weight than the highest: several times
+  /// the duration of a campaign, but only a fraction of the lease that expired
+  /// before.
   static constexpr framework::clock::Duration MaxCampaignDelay =
       std::chrono::milliseconds(250);
-  /// Least wait of a weaker entry: a campaign takes three calls to the store.
+  /// Minimum delay of an entry of lower weight; a campaign takes three calls to
+  /// the store.
   static constexpr framework::clock::Duration MinCampaignDelay =
       std::chrono::milliseconds(40);
-  /// Weights within this part of each other count as equal.
+  /// Relative difference up to which weights count as equal.
   static constexpr double EqualWeightTolerance = 0.1;
 
-  /// \p Cores: processor time of the entry, in cores; \p LinkMbps: its link.
+  /// \p Cores is the CPU time available to the entry in cores, \p LinkMbps its
+  /// network bandwidth in Mbit/s.
   static double weightOf(double Cores, double LinkMbps);
 
   explicit Candidacy(double Weight) : Weight_(Weight) {}
 
-  /// An entry's own word of its weight.
+  /// Records the weight that an entry has published.
   void recordWeight(const std::string &Entry, double Weight) {
     Others_[Entry] = Weight;
   }
 
-  /// How long to wait before a campaign for a cell without holder.
+  /// Returns the delay before campaigning for a cell without a leader.
   framework::clock::Duration campaignDelay() const;
 
   double weight() const { return Weight_; }
--- a/src/cell/cellservice.h
+++ b/src/cell/cellservice.h
@@ -12,8 +12,8 @@
 using AskAdvisor = std::function<absl::StatusOr<scheduling::AdviceReply>(
     const scheduling::StepName &, const std::vector<WorkerId> &)>;
 
-/// What the holder of a cell does: takes jobs, schedules them and keeps them
-/// running. Whether this entry is the holder, LeaderElector says.
+/// The leader's work for a cell: accepts jobs, schedules them and keeps them
+/// running. LeaderElector decides whether this entry is the leader.
 template <store::KeyValueStore Store, WorkerClient Client,
           MachineService Service>
 class CellService {
@@ -24,10 +24,10 @@
   using OfferFn = typename LeaderElector<Store>::OfferFn;
 
   static constexpr Duration TickInterval = std::chrono::milliseconds(100);
-  /// Between two attempts to read the journal.
+  /// Delay before another attempt to load the journal.
   static constexpr Duration LoadRetryPause = std::chrono::milliseconds(100);
-  /// An order may be carried out this long after it was sent (the platform's
-  /// word is "seconds later").
+  /// Longest time after which a sent order may still be executed. The platform
+  /// only says "seconds later".
   static constexpr Duration MaxOrderDelay = std::chrono::seconds(12);
 
   CellService(Store &S, Client &C, Service &Api, WorkerDirectory Directory,
@@ -44,8 +44,8 @@
     framework::fibers::spawn([this] { tickLoop(); });
   }
 
-  /// Hands the cell over: what is on its way is committed, then the head is
-  /// given up.
+  /// Hands the cell over: commits pending events, for at most one second, then
+  /// releases the leadership.
   void handOver() {
     Elector_.stopCampaigning();
     const TimePoint Until = now() + std::chrono::seconds(1);
@@ -54,18 +54,19 @@
     Elector_.resign();
   }
 
-  /// How an offer of the leadership reaches the peers.
+  /// Sets the function that sends an offer of the leadership to the peers.
   void setOfferSender(OfferFn Send) {
     Elector_.setOfferSender(std::move(Send));
   }
 
-  /// The holder with this token cannot reach the store and lets others lead.
+  /// Handles a peer's offer: the leader with its token cannot reach the store
+  /// and lets others lead.
   void handleOffer(const peers::LeadershipOffer &Offer) {
     Elector_.handleOffer(Offer);
   }
 
-  /// Bounds of the terms that begin from now on: what runs under the present
-  /// one has been given its leases by the old ones.
+  /// Sets the bounds for terms that start from now on. Runs of the current term
+  /// have received leases under the earlier bounds.
   void setBounds(const CellBounds &Bounds) { Bounds_ = Bounds; }
 
   void setConfig(const CellConfig &Config) {
@@ -80,23 +81,24 @@
       Machines_->setWaves(Waves_);
   }
 
-  /// Whether this entry may answer calls: it leads, and surely nobody else.
+  /// Whether this entry may answer calls: it leads, and no other entry can.
   bool leads() const {
     return serving() && !Term_->ended() && Elector_.isSoleLeader();
   }
   const TermPtr &term() const { return Term_; }
-  /// The last holder that was seen; its token is 0 when there is none.
+  /// The last leader seen; its token is 0 if there is none.
   const journal::Leader &leader() const { return Elector_.leader(); }
 
-  /// Sets the gauges of the term. All are zero when there is none, or when the
-  /// store has not confirmed it for so long that nothing is ordered any more: a
-  /// holder that is cut off may never hear of its successor.
+  /// Publishes the metrics of the term. All are zero if there is none, or if
+  /// the store has not confirmed it for so long that no more orders are sent: a
+  /// leader without a connection to the store may never learn of its successor.
   void publishGauges(framework::metrics::Registry &Into) const {
     const bool Acts = Term_ && Term_->maySendOrders();
     (Acts ? Term_->gauges() : TermGauges()).publish(Into);
   }
 
-  /// Serves a call if this entry leads; \p Reply may run later, once.
+  /// Serves a call if this entry leads, else replies NotHolder. \p Reply is
+  /// called once, possibly later.
   void handle(const peers::JobCall &Call, const JobReplyFn &Reply) {
     if (!leads())
       return Reply({Call.Sequence_, peers::JobCallStatus::NotLeader, "", 0, 0});
@@ -139,10 +141,10 @@
     return Refusal;
   }
 
-  /// Whether there is a term that has read the journal.
+  /// Whether there is a term that has replayed the journal.
   bool serving() const { return Term_ && Term_->JournalLoaded_; }
 
-  // The term.
+  // Term.
 
   void beginTerm() {
     Term_ = std::make_shared<Term<Store>>(Store_, Keys_, Elector_.leadership(),
@@ -173,8 +175,8 @@
     Calls_ = nullptr;
   }
 
-  /// Works for a term from takeover to end, with what was made for it: the
-  /// service may hold the next term's by now.
+  /// Runs a term from takeover to end. Uses the term's own objects, since the
+  /// members may already belong to the next term.
   void runTerm(const TermPtr &T, const SessionsPtr &Sessions,
                const MachinesPtr &Orders) {
     const TimePoint Begun = now();
@@ -201,7 +203,7 @@
       Elector_.endLeadership("the journal cannot be written");
   }
 
-  /// An empty table that knows how many attempts each queue allows.
+  /// Returns an empty table that knows the attempt limit of each queue.
   static jobs::CellTable emptyTable(const Term<Store> &T) {
     jobs::CellTable Table;
     Table.setAttemptLimit([&T](const QueueName &Name) {
@@ -220,7 +222,7 @@
         T.Table_.restoreAcceptTimes(
             framework::clock::toMillis(framework::clock::SystemClock().now()),
             now());
-        // It may have ended while the answer was on its way.
+        // The term may have ended while the load was in progress.
         return !T.ended();
       }
       framework::log::error("journal.load_failed")
@@ -230,8 +232,8 @@
     return false;
   }
 
-  /// Live runs of jobs that have ended: an earlier holder did not stop them, or
-  /// did not hear of their ends.
+  /// Returns the number of live runs of jobs that have ended: an earlier leader
+  /// did not stop them, or did not learn of their ends.
   static std::uint64_t countUnwantedRuns(const Term<Store> &T) {
     std::uint64_t Count = 0;
     for (const auto &[Id, Job] : T.Table_.jobs())
@@ -240,8 +242,8 @@
     return Count;
   }
 
-  /// Queues that have been removed stay known to the term, so that jobs taken
-  /// before still end.
+  /// Keeps removed queues in the term's configuration, so that jobs accepted
+  /// before can finish.
   void adoptConfig(Term<Store> &T) {
     std::vector<QueueConfig> Removed;
     for (const QueueConfig &Old : T.Config_.Queues_)
@@ -253,7 +255,7 @@
     T.Commits_.wake();
   }
 
-  // Time.
+  // Periodic work.
 
   void tickLoop() {
     while (true) {
@@ -262,7 +264,8 @@
       if (!T || T->ended() || !T->JournalLoaded_)
         continue;
       if (T->Superseded_) {
-        Elector_.endLeadership("a worker has seen a later holder");
+        Elector_.endLeadership(
+            "a worker refused the fencing token: a later leader exists");
         continue;
       }
       for (const auto &[Life, Row] : T->Workers_)
@@ -274,7 +277,7 @@
     }
   }
 
-  /// Runs on workers that nobody lists: their leases have run out by now.
+  /// Ends runs on workers that no list contains once their leases have expired.
   void loseRunsOnUnknownWorkers(Term<Store> &T) {
     if (!Sessions_)
       return;
@@ -283,12 +286,13 @@
       if (!T.Workers_.contains(Life) && now() > lapsedAfter(T, Life))
         Lost.push_back(Life);
     for (const WorkerIncarnation &Life : Lost)
-      Sessions_->loseRuns(Life, "unlisted, lease ran out");
+      Sessions_->loseRuns(Life, "worker not listed and its lease has expired");
   }
 
-  /// When nothing can run any more on a life without a row. A process that has
-  /// started again settles the runs of its former life itself; if it is never
-  /// listed, an order that is carried out late may still reach it.
+  /// Returns the time after which no run can be active on a life that is not in
+  /// the worker table. A restarted process settles the runs of its former life
+  /// itself; if it is never listed, an order that is executed late may still
+  /// reach it.
   static TimePoint lapsedAfter(const Term<Store> &T,
                                const WorkerIncarnation &Life) {
     const auto Newer = T.Workers_.upper_bound(Life);
@@ -334,8 +338,9 @@
     }
   }
 
-  /// Asks about a step if nobody is asking: the advisor answers one call of
-  /// this entry at a time, so the next step waits for the next pass.
+  /// Asks the advisor about a step unless a question is pending. The advisor
+  /// answers one call of this entry at a time, so the next step waits for the
+  /// next pass.
   void askAdvice(Term<Store> &T, const scheduling::StepName &Step,
                  const std::vector<scheduling::Candidate> &Workers) {
     const jobs::JobRow *Job = T.Table_.find(Step.Job_);
@@ -370,11 +375,13 @@
     });
   }
 
-  /// The advisor takes its time for each worker that is named.
+  /// The advisor's response time grows with the number of workers in a
+  /// question.
   static constexpr std::size_t MaxWorkersPerQuestion = 30;
   static constexpr std::uint32_t DefaultMaxAttempts = 3;
   static constexpr double MinDistrust = 0.1;
-  /// Part of a worker's distrust that is left after a tick: half after 4 s.
+  /// Factor applied to the failure scores of all workers at each tick; halves
+  /// them in 4 s.
   static constexpr double DistrustDecay = 0.983;
 
   Store &Store_;
--- a/src/cell/cellsettings.h
+++ b/src/cell/cellsettings.h
@@ -10,27 +10,28 @@
 
 namespace laburnumspread::cell {
 
-/// Settings of one entry that serves jobs, as its file gives them.
+/// Settings of one entry that serves jobs, as read from its settings file.
 struct CellSettings {
   fleet::EntryName Name_;
   ZoneName Zone_;
-  /// Where callers connect.
+  /// Address for callers.
   Address CallerAddress_;
-  /// Where the platform asks whether the entry takes callers.
+  /// Address at which the platform checks whether the entry accepts callers.
   Address ReadinessAddress_;
-  /// Where other entries connect.
+  /// Address for peers, the other entries.
   Address PeerAddress_;
-  /// The address that they are told, if it is another: something between passes
-  /// connections on.
+  /// Address announced to peers if it differs from PeerAddress_, because a
+  /// proxy forwards the connections.
   std::optional<Address> AdvertisedPeerAddress_;
   Address MetricsAddress_;
   Address StoreAddress_;
-  /// The platform's API for machines; no port when there is none.
+  /// The platform's machine service; port 0 if there is none.
   Address MachineApiAddress_;
-  /// The service that says which workers may run a step; no port for none.
+  /// The service that advises which workers may run a step; port 0 if there is
+  /// none.
   Address AdvisorAddress_;
   std::string StorePrefix_;
-  /// Processor time of the entry, in cores, and the width of its link.
+  /// CPU time of the entry in cores, and its network bandwidth in Mbit/s.
   double Cores_ = 1;
   double LinkMbps_ = 1000;
   peers::PeerKeys PeerKeys_;
@@ -39,14 +40,14 @@
   framework::log::Level LogLevel_ = framework::log::Level::Info;
 };
 
-/// Reads and checks a settings file. The error has one line for each fault:
-/// file, line where it is known, field, reason.
+/// Reads and validates a settings file. The error message has one line per
+/// fault, with file, line if known, field and reason.
 absl::StatusOr<CellSettings> loadCellSettings(const std::string &File);
 absl::StatusOr<CellSettings> readCellSettings(std::string_view Text,
                                               const std::string &File);
 
-/// Groups of fields in which \p Fresh differs and that an entry takes up only
-/// when it starts; empty for none.
+/// Returns the comma-separated names of the settings groups in which \p Fresh
+/// differs and that take effect only after a restart; empty if there are none.
 std::string settingsNeedingRestart(const CellSettings &InForce,
                                    const CellSettings &Fresh);
 
--- a/src/cell/commitqueue.h
+++ b/src/cell/commitqueue.h
@@ -6,27 +6,27 @@
 
 namespace laburnumspread::cell {
 
-/// What became of staged events.
+/// Result of committing staged events.
 enum class CommitOutcome {
-  /// The store has them for good.
+  /// The events are durable in the store.
   Stored,
-  /// The leadership ended before the store had answered.
+  /// The leadership ended before the store replied.
   Unknown,
 };
 
-/// Collects events and commits them in groups: what is staged while one group
-/// is on its way makes up the next. One store write carries all jobs, starts
-/// and ends of some milliseconds, so the cost does not grow with their number.
+/// Collects events and commits them in groups: events staged while one group is
+/// being written form the next. One write carries all jobs, starts and ends of
+/// some milliseconds, so the number of writes does not grow with the load.
 ///
-/// Events take effect in the table when they are staged, so that decisions
-/// count them; nothing leaves the process on their account before they are
-/// stored.
+/// Events are applied to the table when they are staged, so that scheduling
+/// decisions include them. Nothing that depends on them is sent out before they
+/// are stored.
 template <store::KeyValueStore Store> class CommitQueue {
 public:
   using Callback = std::function<void(CommitOutcome)>;
 
-  /// Least time between two commits: several hundred events a second then
-  /// share some sixty writes, a sixth of the platform's smallest allowance.
+  /// Minimum time between two commits. Several hundred events per second then
+  /// share about 60 writes, one sixth of the platform's smallest quota.
   static constexpr framework::clock::Duration MinCommitInterval =
       std::chrono::milliseconds(16);
 
@@ -36,7 +36,8 @@
         CommitSeconds_(Metrics.histogram("journal_commit_seconds")),
         EventsCommitted_(Metrics.counter("journal_events_total")) {}
 
-  /// Applies and stages one event; \p Done runs when its fate is known.
+  /// Applies and stages one event. \p Done is called when the outcome of its
+  /// commit is known.
   void stage(jobs::Event Item, Callback Done = nullptr) {
     Table_.recordAttemptLimit(Item);
     Table_.apply(Item, framework::clock::SteadyClock().now());
@@ -46,7 +47,8 @@
     wake();
   }
 
-  /// Runs \p Done when everything staged so far has been stored.
+  /// Calls \p Done when the outcome of everything staged so far is known, at
+  /// once if nothing is pending.
   void whenStored(Callback Done) {
     if (Events_.empty() && !Committing_)
       return Done(CommitOutcome::Stored);
@@ -57,7 +59,7 @@
   }
 
   /// Commits until the leadership ends. \p BeforeGroup may stage more events
-  /// for the group that is about to be written.
+  /// for the group about to be written.
   void run(const std::function<void()> &BeforeGroup) {
     framework::clock::TimePoint Next{};
     while (true) {
@@ -90,7 +92,7 @@
     wake();
   }
 
-  /// Whether what is staged now would not be stored soon.
+  /// Whether events staged now would not be stored soon.
   bool stalled() const {
     return Log_.stalled(framework::clock::SteadyClock().now());
   }
--- a/src/cell/internal/candidacy.cpp
+++ b/src/cell/internal/candidacy.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// A holder of some hundred workers sends and hears a few Mbit/s; beyond this
-/// the link does not matter.
+/// A leader of several hundred workers sends and receives a few Mbit/s; more
+/// bandwidth than this makes no difference.
 constexpr double SufficientLinkMbps = 50;
 
 } // namespace
--- a/src/cell/jobcallhandler.h
+++ b/src/cell/jobcallhandler.h
@@ -7,8 +7,8 @@
 
 using JobReplyFn = std::function<void(const peers::JobReply &)>;
 
-/// Answers callers' requests about jobs, for one term. What is told lasts: a
-/// reply leaves only when the store has what it says.
+/// Serves callers' requests about jobs, for one term. A reply is sent only once
+/// the store holds what it says.
 template <store::KeyValueStore Store, WorkerClient Client>
 class JobCallHandler {
 public:
@@ -20,8 +20,8 @@
   JobCallHandler(TermPtr T, SessionsPtr S)
       : Term_(std::move(T)), Sessions_(std::move(S)) {}
 
-  /// Serves a call; \p Reply may run later, once. \p Leaving: the entry takes
-  /// no more jobs.
+  /// Serves a call. \p Reply is called once, possibly later. With \p Leaving,
+  /// no new jobs are accepted.
   void handle(const peers::JobCall &Call, bool Leaving,
               const JobReplyFn &Reply) {
     switch (Call.Kind_) {
@@ -38,7 +38,8 @@
   }
 
 private:
-  /// A job that is taken now could only be told an unknown outcome later.
+  /// Whether the outcome of a commit would not be known in time. A job accepted
+  /// now could only be answered with an unknown outcome.
   bool storeUnavailable() const {
     return Term_->Commits_.stalled() || !Term_->maySendOrders();
   }
@@ -103,7 +104,7 @@
     };
     if (!Job->ended() || Term_->Commits_.idle())
       return ReplyState(Job->State_);
-    // An end is told only once it lasts.
+    // The end of a job is reported only once it is stored.
     if (storeUnavailable())
       return ReplyState(jobs::JobState::Running);
     Term_->Commits_.whenStored([Reply, Sequence = Call.Sequence_,
--- a/src/cell/leaderelector.h
+++ b/src/cell/leaderelector.h
@@ -17,48 +17,54 @@
 
 namespace laburnumspread::cell {
 
-/// What a LeaderElector tells and asks whoever acts as the leader. None of them
-/// may wait.
+/// Functions through which a LeaderElector notifies and queries the code that
+/// acts as the leader. They must not block.
 struct LeaderCallbacks {
-  /// This entry leads, under the token of the leadership.
+  /// This entry now leads, under the token of leadership().
   std::function<void()> OnStarted_;
-  /// The leadership goes on under a higher token.
+  /// The leadership continues under a higher token.
   std::function<void()> OnTokenRaised_;
-  /// It is over, for the reason that is given: nothing may be ordered any more.
+  /// The leadership has ended, for the given reason; no more orders may be
+  /// sent.
   std::function<void(std::string_view)> OnEnded_;
-  /// Whether the leader has begun to answer. Before, there is nothing to offer.
+  /// Whether the leader has started to answer calls. Until then the leadership
+  /// is not offered to peers.
   std::function<bool()> IsServing_;
 };
 
-/// Leads the cell when no other entry does: stands as a candidate, campaigns,
-/// follows the head key, renews its lease, and offers the leadership to the
-/// peers while the store turns this entry away.
+/// Makes this entry the leader of the cell when there is none: registers as a
+/// candidate, campaigns, watches the head key, renews its lease, and offers the
+/// leadership to the peers while the store is unreachable for this entry.
 template <store::KeyValueStore Store> class LeaderElector {
 public:
-  /// The lease of a second is renewed this often, so that several renewals may
-  /// get lost.
+  /// The lease lasts one second; at this interval several renewals in a row may
+  /// fail.
   static constexpr Duration RenewInterval = std::chrono::milliseconds(200);
-  /// At the first start of all entries; they start within some tenths of a
-  /// second of each other.
+  /// Delay at the very first start of all entries, which start within a few
+  /// tenths of a second of each other.
   static constexpr Duration FirstStartDelay = std::chrono::milliseconds(500);
   static constexpr Duration CampaignPause = std::chrono::milliseconds(100);
   static constexpr Duration ListTimeout = std::chrono::milliseconds(1500);
-  /// The same for the head: a call that hangs in an outage holds up the
-  /// campaign after it. Twice what a store takes that is sixty times as slow.
+  /// Timeout for reading the head key; a call that hangs during an outage
+  /// delays the next campaign. Twice the response time of a store that is 60
+  /// times slower than normal.
   static constexpr Duration LeaderReadTimeout = std::chrono::milliseconds(600);
-  /// A holder that hears nothing of the store for this long, at two looks in a
-  /// row, offers the leadership to its peers: renewals leave every 200 ms and
-  /// commits between them, so several in a row have failed, and the process has
-  /// had its turn to read what came. The lease would take a second.
+  /// A leader that receives nothing from the store for this long, in two
+  /// consecutive checks, offers the leadership to its peers. Renewals are sent
+  /// every 200 ms and commits in between, so several in a row must have failed,
+  /// and the process has had time to read any replies. The lease would take a
+  /// second to expire.
   static constexpr Duration OfferAfterSilence = std::chrono::milliseconds(400);
   static constexpr std::uint32_t SilentChecksToOffer = 2;
-  /// So many renewals in a row that the store refuses say the same sooner.
+  /// This many consecutive refused renewals trigger the offer earlier.
   static constexpr std::uint32_t OfferAfterRefusals = 2;
-  /// A peer whose own calls have failed this lately takes up no offer: the
-  /// store is away for all, and the holder had better go on after it.
+  /// A peer whose own store calls failed within this time ignores offers: the
+  /// store is unreachable for all entries, and the current leader should
+  /// continue after the outage.
   static constexpr Duration StoreFailureWindow =
       std::chrono::milliseconds(2000);
-  /// Time of a peer for its look at the head; past it the offer is old.
+  /// Timeout of a peer's read of the head key; after that the offer is
+  /// outdated.
   static constexpr Duration OfferTimeout = std::chrono::milliseconds(300);
 
   using OfferFn = std::function<void(const peers::LeadershipOffer &)>;
@@ -74,12 +80,12 @@
     framework::fibers::spawn([this] { renewLoop(); });
   }
 
-  /// From now on no leadership is sought, offered or taken over. One that is
-  /// held stays so until resign().
+  /// Stops seeking, offering and taking over leadership. A leadership that is
+  /// held remains so until resign().
   void stopCampaigning() { Leaving_ = true; }
   bool leaving() const { return Leaving_; }
 
-  /// Gives up the head, after stopCampaigning().
+  /// Releases the head key, after stopCampaigning().
   void resign() {
     endLeadership("leaving");
     Leadership_.resign();
@@ -95,10 +101,11 @@
       Leadership_.markLost();
   }
 
-  /// How an offer of the leadership reaches the peers.
+  /// Sets the function that sends an offer of the leadership to the peers.
   void setOfferSender(OfferFn Send) { SendOffer_ = std::move(Send); }
 
-  /// The holder with this token cannot reach the store and lets others lead.
+  /// Handles a peer's offer: the leader with its token cannot reach the store
+  /// and lets others lead.
   void handleOffer(const peers::LeadershipOffer &Offer) {
     if (Leaving_ || Leadership_.held() || Campaigning_ ||
         now() - StoreFailedAt_ < StoreFailureWindow)
@@ -110,21 +117,21 @@
     });
   }
 
-  /// Whether this entry leads, has not offered that to others, and nobody else
-  /// can lead now.
+  /// Whether this entry leads, has not offered the leadership, and no other
+  /// entry can lead at present.
   bool isSoleLeader() const {
     return !Offered_ && Leadership_.leaseValidAt(now());
   }
-  /// Outlives every term that is begun under it.
+  /// Outlives every term that was started under it.
   journal::Leadership<Store> &leadership() { return Leadership_; }
-  /// The last holder that was seen; its token is 0 when there is none.
+  /// The last leader seen; its token is 0 if there is none.
   const journal::Leader &leader() const { return SeenLeader_; }
 
 private:
   static TimePoint now() { return framework::clock::SteadyClock().now(); }
 
-  /// Tells the other entries this one's weight, and hears theirs. At the very
-  /// first start the others need a moment to do the same.
+  /// Publishes this entry's weight and reads those of the others. At the very
+  /// first start, the other entries need a moment to publish theirs.
   void publishCandidacy() {
     store::Transaction Txn;
     Txn.Puts_ = {{Keys_.candidates() + Leadership_.self().Entry_.str(),
@@ -151,7 +158,7 @@
     return Read->Items_.size();
   }
 
-  /// Follows the head key, and campaigns while there is none.
+  /// Watches the head key and campaigns while it does not exist.
   void electionLoop() {
     publishCandidacy();
     while (true) {
@@ -185,19 +192,19 @@
             journal::decodeLeader(Item.Value_, Item.ModRevision_)) {
       SeenLeader_ = *Read;
       DelayElapsed_ = false;
-      // A head of this process that is not the known one is its own rewrite,
-      // seen before the answer to it.
+      // A head of this process with an unknown token is its own rewrite, seen
+      // before the reply to it.
       const bool Others = !Read->sameProcess(Leadership_.self());
       if (Others && Leadership_.held() &&
           Leadership_.token() != SeenLeader_.Token_)
-        endLeadership("another holder was seen");
+        endLeadership("another leader was seen");
       else if (!Leadership_.held() &&
                Leadership_.adoptOwnHead(*Read).value_or(false))
         beginLeadership();
     }
   }
 
-  /// Watches until the head is gone or the watch has to be renewed.
+  /// Watches until the head key is deleted or the watch has to be restarted.
   void watchLeader(fleet::Revision After) {
     bool Gone = false;
     const absl::Status Ended = Store_.watch(
@@ -209,15 +216,15 @@
           return !Gone;
         });
     if (Gone && Leadership_.held())
-      endLeadership("the head key is gone");
+      endLeadership("the head key was deleted");
     if (Ended.ok() || Gone)
       return;
     StoreFailedAt_ = now();
     framework::fibers::sleepFor(CampaignPause);
   }
 
-  /// Campaigns when there is no holder, or when it was an earlier process of
-  /// this entry.
+  /// Campaigns if there is no leader, or if the leader was an earlier process
+  /// of this entry.
   void campaign() {
     const bool Free = SeenLeader_.Token_.value() == 0;
     const journal::Leader &Self = Leadership_.self();
@@ -256,10 +263,11 @@
     }
   }
 
-  /// The failure: the store turns away this entry alone. Nothing can be stored
-  /// and callers wait until the lease has run out, a second or more. From the
-  /// offer on this entry answers no call, since a peer may lead at any moment;
-  /// what runs keeps its leases, as without an offer.
+  /// Handles a store that is unreachable for this entry alone. Without an
+  /// offer, nothing could be stored and callers would wait until the lease
+  /// expires, a second or more. After the offer this entry answers no calls,
+  /// since a peer may lead at any moment; runs keep their leases, as without an
+  /// offer.
   void offerIfStoreUnreachable() {
     const bool Silent =
         now() - Leadership_.confirmationReceivedAt() > OfferAfterSilence;
@@ -276,7 +284,7 @@
     SendOffer_({Leadership_.token().value()});
   }
 
-  /// Takes over from the holder with \p Token if the store still shows it.
+  /// Takes over from the leader with \p Token if the store still shows it.
   void takeOver(jobs::FencingToken Token) {
     framework::fibers::sleepFor(Candidacy_.campaignDelay());
     const auto Read =
@@ -293,8 +301,9 @@
     }
   }
 
-  /// The store answers again before any peer has taken the offer up. An answer
-  /// to a peer's late write must not be possible any more.
+  /// Resumes the leadership when the store is reachable again before a peer has
+  /// accepted the offer. The head key is rewritten so that a delayed write of a
+  /// peer can no longer succeed.
   void reclaimLeadership() {
     if (std::exchange(Reclaiming_, true))
       return;
@@ -304,7 +313,7 @@
     if (!ActiveReign_ || ActiveReign_ != Before || !Written.ok())
       return;
     if (!*Written)
-      return endLeadership("a peer has taken the offer up");
+      return endLeadership("a peer accepted the offered leadership");
     Events_.OnTokenRaised_();
     SeenLeader_ = Leadership_.self();
     Offered_ = false;
@@ -312,8 +321,9 @@
         .field("token", Leadership_.token().value());
   }
 
-  /// Whether the wait before a campaign is over. A weaker entry waits once for
-  /// each time that the cell is without a holder, and looks again.
+  /// Whether the delay before a campaign has elapsed. An entry of lower weight
+  /// waits once each time the cell has no leader, and then reads the head key
+  /// again.
   bool campaignDelayElapsed() {
     if (std::exchange(DelayElapsed_, false))
       return true;
@@ -325,27 +335,27 @@
     return false;
   }
 
-  /// Not waited for: the next renewal must not be late because the answer to
-  /// this one is lost.
+  /// Runs in a fiber of its own, so that a lost reply does not delay the next
+  /// renewal.
   void renewLease() {
     const jobs::FencingToken Token = Leadership_.token();
     const auto Alive = Leadership_.renew();
     if (!Alive.ok() || Leadership_.token() != Token)
       return;
     if (!*Alive)
-      endLeadership("the lease has ended");
+      endLeadership("the lease has expired");
     else if (Offered_)
       reclaimLeadership();
   }
 
-  /// A leadership begins once. Its head may become known twice: by the watch,
-  /// and by the answer to the write. A second term beside the first would take
-  /// the runs that the other starts for unknown ones and stop them.
+  /// Starts a leadership once, although the head key may become known twice:
+  /// from the watch and from the reply to the write. Two terms in parallel
+  /// would each treat the other's runs as unknown and stop them.
   void beginLeadership() {
     if (ActiveReign_ && Leadership_.holds(*ActiveReign_))
       return;
     if (ActiveReign_)
-      Events_.OnEnded_("it was lost, and another has begun");
+      Events_.OnEnded_("lost; a new leadership has started");
     ActiveReign_ = Leadership_.term();
     Offered_ = false;
     Events_.OnStarted_();
@@ -357,10 +367,10 @@
   LeaderCallbacks Events_;
   journal::Leadership<Store> Leadership_;
   journal::Leader SeenLeader_;
-  /// The leadership that was told to have begun and not to be over.
+  /// The leadership for which OnStarted_ was called, and OnEnded_ was not.
   std::optional<journal::TermNumber> ActiveReign_;
   OfferFn SendOffer_;
-  /// Peers have been told that they may lead.
+  /// Whether the peers have been told that they may lead.
   bool Offered_ = false;
   bool Reclaiming_ = false;
   std::uint32_t SilentChecks_ = 0;
