--- a/src/cell/fillerpacecontroller.h
+++ b/src/cell/fillerpacecontroller.h
@@ -4,10 +4,10 @@
 
 namespace laburnumspread::cell {
 
-/// Slows the tasks that only fill down while tasks that serve beside them are
-/// near their targets. The pace is Pacer's; here it is sent to the worker, and
-/// again while the worker has not confirmed it. A pace that is not known may be
-/// any: a former holder may have set it, or an order without an answer.
+/// Slows down filler tasks while serving tasks on the same worker are close to
+/// their latency targets. Pacer computes the pace; this class sends it to the
+/// worker, and repeats it until the worker confirms it. An unconfirmed pace may
+/// have any value, set by an earlier leader or by an order without a reply.
 template <store::KeyValueStore Store, WorkerClient Client>
 class FillerPaceController {
 public:
@@ -16,7 +16,7 @@
   FillerPaceController(std::shared_ptr<Term<Store>> T, Client &C)
       : Term_(std::move(T)), Client_(C) {}
 
-  /// A run is about to be started by this holder: one that fills begins at the
+  /// Records that this leader is about to start a run; filler tasks start at
   /// full pace.
   void started(const jobs::RunName &Run) {
     const jobs::StepSpec *Step = Term_->Table_.specOf(Run.Task_);
@@ -24,7 +24,7 @@
       (*SentPaces_)[Run] = scheduling::Pacer::FullPercent;
   }
 
-  /// Takes a worker's report.
+  /// Computes and sends the pace of the filler tasks that a worker reports.
   void handleReport(WorkerRow &Row, const HoldReply &Reply) {
     std::vector<scheduling::ServingLatency> Serving;
     std::vector<jobs::RunName> Fillers;
@@ -64,7 +64,7 @@
           .field("worker", Record.Incarnation_.Id_.str())
           .field("percent", Percent)
           .field("result", nameOf(Reply.Result_));
-      // Unknown or refused: the next report sends it again.
+      // Unknown or refused: the pace is sent again after the next report.
       if (Reply.Result_ != OrderResult::Done)
         Paced->erase(Run);
     });
@@ -72,7 +72,7 @@
 
   std::shared_ptr<Term<Store>> Term_;
   Client &Client_;
-  /// Kept alive by the orders on their way.
+  /// Shared with the pending orders, which may outlive this object.
   std::shared_ptr<PaceByRun> SentPaces_ = std::make_shared<PaceByRun>();
 };
 
--- a/src/cell/internal/machinetable.cpp
+++ b/src/cell/internal/machinetable.cpp
@@ -70,8 +70,9 @@
 }
 
 void MachineTable::orderAcknowledged(const MachineId &Machine, TimePoint Now) {
-  // A newer worker may have settled it before the answer came; that one is not
-  // the life that the order was given for.
+  // A newer worker may have settled the order before the acknowledgement
+  // arrived. The entry recreated here names no life, since the newer one is not
+  // the life that the order ends.
   Order &Known = Orders_[Machine];
   Known.At_ = Now;
   Known.Acknowledged_ = true;
--- a/src/cell/internal/pooldemand.cpp
+++ b/src/cell/internal/pooldemand.cpp
@@ -29,7 +29,7 @@
                      });
 }
 
-/// The least room into which both fit, each by itself.
+/// Returns the smallest size into which each of the two fits on its own.
 Resources componentMax(const Resources &A, const Resources &B) {
   return {std::max(A.MilliCpus_, B.MilliCpus_),
           std::max(A.MemoryMb_, B.MemoryMb_),
@@ -59,8 +59,8 @@
     }
 }
 
-/// Counts the job to what comes in now, or came in before, by its age. What
-/// was cancelled needs nothing.
+/// Adds the job's work to the current or the previous window, by its age.
+/// Cancelled jobs need no resources.
 void addArrivals(const jobs::JobRow &Job,
                  const scheduling::RunTimeEstimator &Estimates, TimePoint Now,
                  capacity::PoolDemand &Into) {
@@ -90,7 +90,7 @@
     addSteps(Job, Now > scheduling::deadlineOf(Job, *Queue, Estimates), Now,
              Into);
   }
-  // Short jobs are done before their wave of arrivals has passed.
+  // Short jobs end within the arrival window, so ended jobs count too.
   for (const jobs::JobId &Id : Table.endedSince(Now - 2 * ArrivalWindow))
     if (const jobs::JobRow *Job = Table.find(Id))
       if (const QueueConfig *Queue = Config.find(Job->Spec_.Queue_))
--- a/src/cell/machinemanager.h
+++ b/src/cell/machinemanager.h
@@ -8,17 +8,18 @@
 
 namespace laburnumspread::cell {
 
-/// How the operator is told of a wave's progress.
+/// Key and value under which a wave's progress is reported to the operator.
 struct WaveStatusCodec {
   std::function<std::string(WaveNumber)> Key_;
   std::function<std::string(bool Done)> Value_;
 };
 
-/// Gives machines their upkeep and moves them between pools, for one term.
+/// Orders the upkeep of machines and moves machines between pools, for one
+/// term.
 ///
-/// Two holders must not take turns on one machine within the platform's lease
-/// time, so a new holder leaves the machines alone that the journal shows as
-/// ordered lately.
+/// Two leaders must not alternate on one machine within the platform's lease
+/// time, so a new leader sends no orders for machines that the journal shows as
+/// ordered recently.
 template <store::KeyValueStore Store, WorkerClient Client,
           MachineService Service>
 class MachineManager : public std::enable_shared_from_this<
@@ -28,12 +29,12 @@
   using SessionsPtr = std::shared_ptr<WorkerSessions<Store, Client>>;
 
   static constexpr Duration PlanInterval = std::chrono::milliseconds(100);
-  /// The list is read this often while something is in question, else at the
-  /// longer interval: each reading is paid for.
+  /// Interval between reads of the machine list while a change is expected;
+  /// otherwise the longer one applies, since each read is billed.
   static constexpr Duration ListIntervalBusy = std::chrono::milliseconds(1000);
   static constexpr Duration ListIntervalIdle = std::chrono::milliseconds(10000);
-  /// The list may be this old when it is asked for: what it says of a worker
-  /// that answered later is passed over.
+  /// The list may be this old when it is requested. What it says about a worker
+  /// that replied later is ignored.
   static constexpr Duration MaxListLag = std::chrono::milliseconds(1000);
   static constexpr Duration RetryPause = std::chrono::milliseconds(400);
   static constexpr Duration ReportTimeout = std::chrono::milliseconds(900);
@@ -76,12 +77,13 @@
     }
   }
 
-  /// A worker has come up: its machine is where the worker says.
+  /// Records that a worker was listed; its record tells the pool of its
+  /// machine.
   void recordWorker(const WorkerRecord &Record) {
     Table_->recordWorker(Record, now());
   }
 
-  /// Whether the worker is held back for an order on its machine.
+  /// Whether the worker receives no tasks because of an order for its machine.
   bool heldBack(const WorkerRecord &Record) const {
     return Table_->heldBack(Record.Machine_);
   }
@@ -89,8 +91,9 @@
 private:
   static TimePoint now() { return Term<Store>::now(); }
 
-  /// An upkeep that an earlier holder ordered last may not show in any list
-  /// yet, and would not be counted against the wave's bound.
+  /// Whether upkeep may be ordered. The last upkeep ordered by an earlier
+  /// leader may not be in any list yet and would then not count towards the
+  /// wave's limit.
   bool maySendUpkeepOrders() const {
     return Orders_->maySendOrders() &&
            now() - Term_->StartedAt_ > Term_->Bounds_.MachineOrderLease_;
@@ -122,7 +125,7 @@
     }
   }
 
-  /// Whether the list could tell something that is waited for.
+  /// Whether the machine list could show a change that is waited for.
   bool awaitsListChange() const {
     if (Table_->anyBusy())
       return true;
@@ -152,12 +155,12 @@
         Gone.push_back(Row);
     }
     for (const WorkerRowPtr &Row : Gone)
-      Sessions_->endLife(*Row, "its machine is down or gone by the list",
-                         false);
+      Sessions_->endLife(
+          *Row, "the machine list shows its machine as down or gone", false);
     loseRunsOnUnlistedWorkers(ListOf);
   }
 
-  /// Runs on workers that nobody talks to any more and that no machine runs.
+  /// Ends runs on workers that have no session and that no listed machine runs.
   void loseRunsOnUnlistedWorkers(TimePoint ListOf) {
     std::vector<WorkerIncarnation> Lost;
     for (const auto &[Life, Use] : Term_->Table_.workers()) {
@@ -169,11 +172,11 @@
         Lost.push_back(Life);
     }
     for (const WorkerIncarnation &Life : Lost)
-      Sessions_->loseRuns(Life, "no machine runs its worker");
+      Sessions_->loseRuns(Life, "no listed machine runs its worker");
   }
 
-  /// Standing tasks on workers that are to leave start elsewhere at once;
-  /// finite ones have the time that is left.
+  /// Moves long-running tasks off draining workers at once; finite tasks keep
+  /// the time that is left.
   void evacuateDraining() {
     std::vector<jobs::RunName> Leaving;
     for (const auto &[Life, Row] : Term_->Workers_) {
@@ -190,7 +193,7 @@
     for (const jobs::RunName &Run : Leaving) {
       framework::log::info("run.evacuate")
           .field("task", Run.Task_.str())
-          .field("reason", "its worker drains");
+          .field("reason", "its worker is draining");
       Sessions_->stop(Run);
     }
   }
@@ -208,7 +211,7 @@
     }
   }
 
-  /// Brings the views in line with what the workers run.
+  /// Updates the machine views from the runs on the workers.
   void refreshViews() {
     for (auto &[Id, View] : Table_->views()) {
       View.Usable_ = false;
@@ -290,14 +293,15 @@
     store::Transaction Txn;
     Txn.Puts_ = {{WaveStatus_.Key_(Number), WaveStatus_.Value_(Done), 0}};
     while (!Term_->ended()) {
-      // An older report that is carried out late must not hide a newer one.
+      // A report of an earlier state that is written late must not overwrite a
+      // newer one.
       if (!Done && Waves_.at(Number).DoneReported_)
         return;
       Txn.Compares_ = {{Keys_.head(), fleet::Revision(Term_->Token_.value())}};
       const auto Written =
           Store_.commit(Txn, framework::clock::wallDeadline(ReportTimeout));
-      // The head may be written anew at this moment: then nothing was written,
-      // and the next try goes by the new token.
+      // If the head key is being rewritten at this moment, nothing is written,
+      // and the next attempt uses the new token.
       if (Written.ok() && Written->Succeeded_) {
         framework::log::info("wave.reported")
             .field("wave", Number.value())
@@ -309,7 +313,8 @@
   }
 
 public:
-  /// Keys of the cell, for the guard of reports.
+  /// Sets the keys of the cell; reports are written only while its head key has
+  /// this term's token.
   void setKeys(const journal::CellKeys &Keys) { Keys_ = Keys; }
 
 private:
--- a/src/cell/machineorders.h
+++ b/src/cell/machineorders.h
@@ -7,16 +7,17 @@
 
 namespace laburnumspread::cell {
 
-/// Sends the orders for machines of one term and settles them in the table.
-/// Each is noted in the journal before it leaves, so that a successor knows
-/// which machines were ordered lately.
+/// Sends the machine orders of one term and settles them in the machine table.
+/// Each order is written to the journal before it is sent, so that a successor
+/// knows which machines were ordered recently.
 template <store::KeyValueStore Store, MachineService Service>
 class MachineOrders
     : public std::enable_shared_from_this<MachineOrders<Store, Service>> {
 public:
   static constexpr Duration RetryPause = std::chrono::milliseconds(400);
-  /// Orders need a leadership that the store has confirmed lately: a successor
-  /// waits for the platform's lease time before its first one.
+  /// Orders are sent only if the store confirmed the leadership within this
+  /// time. A successor waits for the platform's lease time before its first
+  /// order.
   static constexpr Duration MaxConfirmationAge =
       std::chrono::milliseconds(1000);
 
@@ -29,7 +30,8 @@
            now() - Term_->Leadership_.confirmedAt() < MaxConfirmationAge;
   }
 
-  /// Begins a machine's upkeep, which the journal notes when it is done.
+  /// Starts a machine's upkeep, and records it in the journal once the order
+  /// was executed.
   void upkeep(const capacity::UpkeepOrder &Order) {
     Table_->orderSent(Order.Machine_, Term_->Bounds_.UpkeepDuration_, now());
     framework::fibers::spawn([Self = this->shared_from_this(), Order] {
@@ -48,8 +50,8 @@
     });
   }
 
-  /// Moves a machine to another pool, unless its worker has been given a task
-  /// since this was planned.
+  /// Moves a machine to another pool, unless its worker has received a task
+  /// since the move was planned.
   void move(const capacity::MoveOrder &Order) {
     const auto Life = Table_->lifeOn(Order.Machine_);
     if (Life && Term_->Table_.usageOf(*Life))
@@ -73,8 +75,9 @@
 private:
   static TimePoint now() { return Term<Store>::now(); }
 
-  /// Sends an order until it is answered, as long as the machine is as it was
-  /// ordered: if it has been carried out, saying it again changes nothing.
+  /// Repeats an order until it is answered, as long as it still applies to the
+  /// machine. The platform ignores a repetition of an order that it has
+  /// executed.
   template <typename Call>
   MachineResult sendUntilAnswered(const MachineId &Machine, const Call &Send) {
     while (true) {
@@ -96,11 +99,11 @@
     }
   }
 
-  /// Whether the machine's order may leave. The failure: a newer life settles
-  /// the order and is given tasks, and an order that was not carried out before
-  /// kills them when it is said again. Nothing starts on the life that it ends
-  /// while the order is open, and a machine that still needs it is planned
-  /// anew, so to give it up is enough.
+  /// Whether the machine's order may still be sent. Without this check, a new
+  /// life could settle the order and receive tasks, and repeating an order that
+  /// was not executed before would then kill them. No task starts on the life
+  /// that the order ends while the order is open, and a machine that still
+  /// needs the order is planned again, so dropping it is safe.
   bool orderStillApplies(const MachineId &Machine) const {
     const std::optional<WorkerIncarnation> Life =
         Table_->lifeEndedByOrder(Machine);
@@ -114,8 +117,9 @@
         .add();
   }
 
-  /// Waits until the store has the note that an order leaves now. False when
-  /// the leadership ended first: then nothing may leave.
+  /// Waits until the store holds the record that an order is about to be sent.
+  /// Returns false if the leadership ended first; then the order must not be
+  /// sent.
   bool recordInJournal(const MachineId &Machine) {
     const auto View = Table_->views().find(Machine);
     jobs::MachineOrdered Note{Machine, PoolName()};
@@ -150,9 +154,9 @@
     suspectWorker(Machine);
   }
 
-  /// The worker that was ordered away may be gone long before any list shows
-  /// it, and tasks that it is given meanwhile are lost with it. If the order
-  /// had been carried out before, it is alive, answers and is used again.
+  /// The worker that the order ends may be gone long before a list shows it,
+  /// and tasks sent to it meanwhile would be lost. If the order had already
+  /// been executed earlier, the worker is alive, replies and is used again.
   void suspectWorker(const MachineId &Machine) {
     const auto Life = Table_->lifeEndedByOrder(Machine);
     if (!Life)
--- a/src/cell/machinetable.h
+++ b/src/cell/machinetable.h
@@ -7,72 +7,75 @@
 
 namespace laburnumspread::cell {
 
-/// What the holder knows of the machines: what the platform lists, which worker
-/// each runs, and which orders have not come through. The platform's list lags,
-/// and so do the workers' entries, so an order counts until something newer
-/// than it is seen.
+/// The leader's view of the machines: the platform's list, the worker on each
+/// machine, and the orders not settled yet. Both the platform's list and the
+/// workers' entries lag behind, so an order counts until newer information is
+/// seen.
 class MachineTable {
 public:
-  /// No move of a machine after a refusal for this time.
+  /// A machine is not moved for this time after the platform refused an order.
   static constexpr Duration PauseAfterRefusal = std::chrono::milliseconds(1000);
 
   using Views = std::map<MachineId, capacity::MachineView>;
 
-  /// \p MinOrderDuration: least time from an order's acknowledgement to its
-  /// end; a list that shows the machine up before is older than the order.
+  /// \p MinOrderDuration is the minimum time from the acknowledgement of an
+  /// order to its completion. A list that shows the machine up before that is
+  /// older than the order.
   explicit MachineTable(Duration MinOrderDuration)
       : MinOrderDuration_(MinOrderDuration) {}
 
-  /// Takes the platform's list.
+  /// Updates the views from the platform's list.
   void updateFromList(const std::vector<MachineRecord> &List, TimePoint Now);
 
-  /// A worker's entry was seen. A life that is not newer than the last one of
-  /// its machine changes nothing.
+  /// Records a worker's entry in the platform's list. Ignored unless its life
+  /// is newer than the last one seen on its machine.
   void recordWorker(const WorkerRecord &Record, TimePoint Now);
 
-  /// An order for a machine leaves that takes at least \p Takes; until it is
-  /// settled the machine is busy.
+  /// Records that an order is being sent that takes at least \p Takes. The
+  /// machine is busy until the order is settled.
   void orderSent(const MachineId &Machine, Duration Takes, TimePoint Now);
-  /// The platform has carried out the order, now or earlier: one that was done
-  /// before is acknowledged too, and ends nothing.
+  /// Records that the platform acknowledged the order. It also acknowledges an
+  /// order that it had executed before, which then ends no life.
   void orderAcknowledged(const MachineId &Machine, TimePoint Now);
-  /// The life that the open order ends, if it has been seen: the one on the
-  /// machine when it left, or one from before that was seen only later.
+  /// Returns the life that the open order ends, if it has been seen: the one on
+  /// the machine when the order was sent, or an earlier one that was seen only
+  /// later.
   std::optional<WorkerIncarnation>
   lifeEndedByOrder(const MachineId &Machine) const;
-  /// Lives for which orders were given that were acknowledged before \p Before.
-  /// Each is over if a list that is newer says that it is gone.
+  /// Returns the lives whose machines were ordered away, with an
+  /// acknowledgement before \p Before. Each has ended if a newer list shows it
+  /// as gone.
   std::set<WorkerIncarnation> livesEndedByOrders(TimePoint Before) const;
-  /// The platform has refused the order: nothing was done. The machine is not
-  /// moved for a while, since the next order would be refused as well, and each
-  /// is paid for.
+  /// Records that the platform refused the order and did nothing. The machine
+  /// is not moved for PauseAfterRefusal: the next order would be refused too,
+  /// and each order is billed.
   void orderRefused(const MachineId &Machine, TimePoint Now);
 
   bool busy(const MachineId &Machine) const {
     return Orders_.contains(Machine);
   }
   bool anyBusy() const { return !Orders_.empty(); }
-  /// The pool to which the machine belongs, as an earlier holder found it.
+  /// Sets the home pool of the machine, as recorded by an earlier leader.
   void setHome(const MachineId &Machine, const PoolName &Home) {
     Homes_[Machine] = Home;
   }
-  /// No order for the machine before \p Until.
+  /// Blocks orders for the machine until \p Until.
   void blockOrdersUntil(const MachineId &Machine, TimePoint Until) {
     OrdersBlockedUntil_[Machine] = Until;
   }
 
   bool heldBack(const MachineId &Machine) const;
 
-  /// Whether the platform's list says that a worker's process is gone: its
-  /// machine is not listed, is not up, or runs another worker. Asked only for
-  /// workers that do not answer, since one that is cut off is listed as up, and
-  /// for those whose machine was ordered away.
+  /// Whether the platform's list shows that a worker's process is gone: its
+  /// machine is not listed, is not up, or runs another worker. Used only for
+  /// workers that do not reply, since a worker that cannot be reached is listed
+  /// as up, and for workers whose machine was ordered away.
   bool showsWorkerGone(const WorkerRecord &Worker) const;
 
-  /// Whether the last list shows the worker's process on some machine.
+  /// Whether the last list shows the worker's process on any machine.
   bool listsWorker(const WorkerId &Worker) const;
 
-  /// The machine's current worker, if one has been seen.
+  /// Returns the current worker on the machine, if one has been seen.
   std::optional<WorkerIncarnation> lifeOn(const MachineId &Machine) const;
 
   Views &views() { return Views_; }
@@ -81,16 +84,16 @@
 
 private:
   struct Order {
-    /// When it left first, or was acknowledged.
+    /// When the order was first sent, or when it was acknowledged.
     TimePoint At_{};
-    /// No life that comes up after it can have come up before this.
+    /// A life seen before this time cannot have been started by the order.
     TimePoint NewLifeFrom_{};
     bool Acknowledged_ = false;
     std::optional<WorkerIncarnation> Life_;
   };
 
-  /// A new life has been seen on the machine: it settles the order, or it is
-  /// the one that the order ends.
+  /// Handles a new life on the machine: either it settles the order, or it is
+  /// the life that the order will end.
   void settleOrderByLife(const WorkerRecord &Record, TimePoint Now);
 
   void applyOrderBlock(capacity::MachineView &View) const;
--- a/src/cell/pooldemand.h
+++ b/src/cell/pooldemand.h
@@ -7,13 +7,13 @@
 
 namespace laburnumspread::cell {
 
-/// Jobs that were taken within this time tell how fast work comes in. About as
-/// long as a move of a machine: a shorter one takes chance for demand, a longer
-/// one sees a peak only when its queue has grown.
+/// Window over which the arrival rate of work is measured. It is about as long
+/// as the move of a machine: a shorter window mistakes random variation for
+/// demand, a longer one detects a peak only after its backlog has grown.
 constexpr Duration ArrivalWindow = std::chrono::milliseconds(1000);
 
-/// What the open jobs ask of each pool at \p Now. Filling tasks ask for
-/// nothing, and neither do steps that wait for others.
+/// Returns the demand of the open jobs on each pool at \p Now. Filler tasks and
+/// steps that wait for other steps create no demand.
 std::map<PoolName, capacity::PoolDemand>
 computePoolDemand(const jobs::CellTable &Table, const CellConfig &Config,
                   const scheduling::RunTimeEstimator &Estimates, TimePoint Now);
--- a/src/cell/workerfollower.h
+++ b/src/cell/workerfollower.h
@@ -4,15 +4,16 @@
 
 namespace laburnumspread::cell {
 
-/// Keys under which the platform lists workers, and how an item is read.
+/// Prefix of the keys under which the platform lists workers, and the parser
+/// for an item.
 struct WorkerDirectory {
   std::string Prefix_;
-  /// Empty when the item names no worker that can be used.
+  /// Returns nullopt if the item does not describe a usable worker.
   std::function<std::optional<WorkerRecord>(const store::KeyValue &)> Read_;
 };
 
-/// Follows the platform's list of workers for one term: opens the session of
-/// each worker that comes up, and ends the life that a newer one replaces.
+/// Follows the platform's worker list for one term: opens a session for each
+/// new worker, and ends the lives that newer ones replace.
 template <store::KeyValueStore Store, WorkerClient Client,
           MachineService Service>
 class WorkerFollower {
@@ -29,7 +30,7 @@
       : Store_(S), Directory_(std::move(Where)), Term_(std::move(T)),
         Sessions_(std::move(Sessions)), Machines_(std::move(M)) {}
 
-  /// Reads and watches the list until the term is over.
+  /// Reads and watches the list until the term ends.
   void follow() {
     const TermPtr T = Term_;
     while (!T->ended()) {
@@ -95,7 +96,8 @@
   }
 
   void addWorker(Term<Store> &T, const WorkerRecord &Record) {
-    // A worker is one life of a machine, and an id names one life at a time.
+    // A worker is one life on one machine, and an id belongs to one life at a
+    // time.
     std::vector<WorkerRowPtr> Over;
     for (const auto &[Life, Row] : T.Workers_)
       if ((Life.Id_ == Record.Incarnation_.Id_ &&
