--- a/src/cell/tests/callattemptstest.cpp
+++ b/src/cell/tests/callattemptstest.cpp
@@ -17,9 +17,9 @@
   BOOST_TEST(!Attempts.mayHaveBeenAccepted());
 }
 
-// A caller is told "not run" and sends the order elsewhere: the first holder
-// got the call and died, its successor turned the second sending down, and the
-// journal has the job all the same.
+// Guards against telling a caller "not run", so that it submits the job
+// elsewhere, although the job is in the journal: the first leader accepted the
+// call and died, and its successor rejected the second attempt.
 BOOST_AUTO_TEST_CASE(OneAnswerDoesNotSpeakForTwoSendings) {
   CallAttempts Attempts;
   Attempts.sent();
@@ -28,9 +28,9 @@
   BOOST_TEST(Attempts.mayHaveBeenAccepted());
 }
 
-// During an outage a caller's last attempt comes with no time left. It hears
-// "unknown", though no holder was ever asked, and does not dare to hand the
-// order in again.
+// Guards against answering "unknown" to a caller whose last attempt during an
+// outage has no time left. No leader was ever asked, and the caller would not
+// dare to submit the job again.
 BOOST_AUTO_TEST_CASE(CallWithoutTimeLeftIsNotTaken) {
   CallRouter Router({[](const peers::JobCall &, const CallRouter::ReplyFn &) {},
                      [] { return false; }, [] { return journal::Leader(); },
--- a/src/cell/tests/callchecktest.cpp
+++ b/src/cell/tests/callchecktest.cpp
@@ -53,7 +53,7 @@
               peers::JobCallStatus::Refused));
 }
 
-// Guards against calls with a withdrawn key from an entry that still has it.
+// Guards against calls with a revoked key from an entry that still has it.
 BOOST_AUTO_TEST_CASE(KeyThatANewerVersionWithdrewIsRefused) {
   BOOST_TEST((refusalByNewerConfig(config(false), call("/q/1", "old", 6)) ==
               peers::JobCallStatus::UnknownKey));
@@ -61,7 +61,7 @@
   BOOST_TEST(!refusalByNewerConfig(config(true), call("/q/1", "old", 6)));
 }
 
-// Guards against a holder that refuses calls by a configuration older than the
+// Guards against a leader that refuses calls by a configuration older than the
 // entry's.
 BOOST_AUTO_TEST_CASE(CallWithTheSameOrANewerVersionIsNotRechecked) {
   BOOST_TEST(!refusalByNewerConfig(config(false), call("/new/1", "new", 7)));
--- a/src/cell/tests/candidacytest.cpp
+++ b/src/cell/tests/candidacytest.cpp
@@ -15,8 +15,9 @@
   BOOST_TEST((Mine.campaignDelay() == 0us));
 }
 
-// Every caller waits seconds for a start: the holder has a tenth of a core and
-// several hundred workers, and stronger entries stand by.
+// Guards against a weak leader: with a tenth of a core and several hundred
+// workers it delayed every start by seconds, while stronger entries were
+// available.
 BOOST_AUTO_TEST_CASE(WeakEntriesLetStrongOnesGoFirst) {
   Candidacy Weak(0.12), Middle(0.25), Strong(0.5);
   for (Candidacy *Entry : {&Weak, &Middle, &Strong}) {
--- a/src/cell/tests/commitqueuetest.cpp
+++ b/src/cell/tests/commitqueuetest.cpp
@@ -15,7 +15,7 @@
 const jobs::JobId Job("0123456789abcdef");
 const jobs::TaskName Task{Job, 0, 0, 0};
 
-/// A holder with a job of one task.
+/// A leader with a job of one task.
 struct Fixture {
   Fixture() {
     BOOST_REQUIRE(*Leadership_.campaign());
@@ -31,7 +31,7 @@
         [Attempts](const QueueName &) { return Attempts; });
   }
 
-  /// Runs the task once.
+  /// Runs the task once, with the given end.
   void runTo(EndKind Kind) {
     const jobs::RunName Run{Task, jobs::RunNumber(++LastRun_)};
     Term_->Commits_.stage(jobs::RunIntended{Run, {WorkerId("w"), 1}});
@@ -40,7 +40,8 @@
 
   JobState state() const { return Term_->Table_.find(Job)->State_; }
 
-  /// The job's state for a holder that allows \p Attempts when it takes over.
+  /// Returns the job's state for a leader that allows \p Attempts when it takes
+  /// over.
   JobState stateAfterReplay(std::uint32_t Attempts) {
     Term_->Commits_.whenStored([&](CommitOutcome) { Term_->Commits_.stop(); });
     Term_->Commits_.run([] {});
@@ -62,10 +63,11 @@
 
 BOOST_FIXTURE_TEST_SUITE(CommitQueueTest, Fixture)
 
-// A caller hears that its job is done, and after a takeover that it has failed.
-// The replay held two failed ends against the bound of the configuration at
-// that time, which had been lowered since; the journal did not tell by which
-// bound they counted. Proof: the same events under the former bound agree.
+// Guards against a job that is reported as done, and as failed after a
+// takeover. The replay compared two failed runs with the attempt limit of the
+// current configuration, which had been lowered since; the journal did not
+// record the limit that applied. Under the earlier limit, the same events gave
+// the same state.
 BOOST_AUTO_TEST_CASE(DoneJobStaysDoneUnderALowerLimit) {
   limitTo(3);
   runTo(EndKind::Failed);
@@ -75,8 +77,9 @@
   BOOST_TEST((stateAfterReplay(2) == JobState::Done));
 }
 
-// The other way round: a job that was told as failed runs again, since the
-// bound has been raised, or is not known yet, when the journal is read.
+// Guards against the reverse: a job reported as failed runs again because the
+// attempt limit has been raised, or is not known yet, when the journal is
+// replayed.
 BOOST_AUTO_TEST_CASE(FailedJobStaysFailedUnderAHigherLimit) {
   limitTo(2);
   runTo(EndKind::Failed);
--- a/src/cell/tests/fillerpacecontrollertest.cpp
+++ b/src/cell/tests/fillerpacecontrollertest.cpp
@@ -17,7 +17,7 @@
 constexpr std::int64_t FarBelow = 10;
 constexpr std::int64_t Over = 200;
 
-/// Notes the paces that it is sent.
+/// Records the paces that are sent.
 struct PaceClient {
   OrderReply start(const WorkerRecord &, const StartOrder &, Duration) {
     return {};
@@ -42,7 +42,7 @@
 
 static_assert(WorkerClient<PaceClient>);
 
-/// A holder with a worker on which a filling and a serving task run.
+/// A leader with a worker that runs a filler task and a serving task.
 struct Fixture {
   Fixture()
       : Leadership_(Store_, Keys, journal::Leader()),
@@ -57,7 +57,7 @@
     Term_->Table_.apply(Job, TimePoint());
   }
 
-  /// A report comes, and what it calls for is sent.
+  /// Delivers a report and lets the resulting orders be sent.
   void report(std::int64_t TailMs) {
     HoldReply Reply;
     Reply.Running_ = {{Filler, jobs::Checkpoint(), 100, 0},
@@ -79,9 +79,10 @@
 
 BOOST_FIXTURE_TEST_SUITE(FillerPaceControllerTest, Fixture)
 
-// A filling task works slowly for good: a holder had cut its pace and was
-// followed by another while the tasks beside it were well again. The new one
-// took a pace that it did not know for the full one, and sent nothing.
+// Guards against a filler task that stays slow forever: an earlier leader had
+// reduced its pace, and the serving tasks had recovered when the next leader
+// took over. That one assumed that an unknown pace was the full one and sent
+// nothing.
 BOOST_AUTO_TEST_CASE(PaceThatAFormerHolderSetIsSetAnew) {
   report(FarBelow);
   BOOST_TEST(Client_.Sent_ == std::vector<int>{scheduling::Pacer::FullPercent});
@@ -89,8 +90,8 @@
   BOOST_TEST(Client_.Sent_.size() == 1u);
 }
 
-// The same without a takeover: the answer to the last raise is lost, and the
-// pacer says the full pace by then. The raise may not have come through.
+// The same without a takeover: the reply to the last increase is lost, so it
+// may not have been executed, while the pacer is already at full pace.
 BOOST_AUTO_TEST_CASE(LastRaiseIsSentUntilItIsAnswered) {
   report(Over);
   Client_.Answer_ = OrderResult::Unknown;
@@ -104,8 +105,8 @@
   BOOST_TEST(Client_.Sent_ == std::vector<int>{scheduling::Pacer::FullPercent});
 }
 
-/// Each order is paid for: a run of this holder's own begins at the full pace
-/// and needs none until the pace changes.
+/// Guards against needless orders, since each is billed: a run started by this
+/// leader begins at full pace and needs no order until the pace changes.
 BOOST_AUTO_TEST_CASE(OwnRunIsPacedOnlyWhenThePaceChanges) {
   Fillers_.started(Filler);
   report(FarBelow);
--- a/src/cell/tests/machinemanagertest.cpp
+++ b/src/cell/tests/machinemanagertest.cpp
@@ -12,7 +12,7 @@
 const journal::CellKeys Keys("cell/");
 const MachineId Machine("m1");
 
-/// Answers nothing: workers' sessions are not opened here.
+/// Never replies; the tests open no worker sessions.
 struct SilentClient {
   OrderReply start(const WorkerRecord &, const StartOrder &, Duration) {
     return {};
@@ -31,7 +31,7 @@
   void forget(const WorkerRecord &) {}
 };
 
-/// Lists what it knew when it was asked.
+/// Returns the list as of the time of the request.
 struct FakeMachines {
   absl::StatusOr<std::vector<MachineRecord>> list() {
     const std::vector<MachineRecord> Known = Machines_;
@@ -53,9 +53,9 @@
   }
 
   std::vector<MachineRecord> Machines_;
-  /// Happens between the next list and its answer.
+  /// Called between the next list request and its reply.
   std::function<void()> BeforeList_;
-  /// Happens between the next upkeep and its answer, which may be lost.
+  /// Called between the next upkeep request and its reply, which may be lost.
   std::function<void()> BeforeUpkeep_;
   bool LostUpkeep_ = true;
   std::uint32_t Lists_ = 0;
@@ -64,7 +64,7 @@
 
 using TestedManager = MachineManager<FakeStore, SilentClient, FakeMachines>;
 
-/// A holder, and a machine that is listed as down.
+/// A leader, and a machine that is listed as down.
 struct Fixture {
   Fixture() {
     BOOST_REQUIRE(*Leadership_.campaign());
@@ -84,7 +84,7 @@
             [](bool) { return std::string("told"); }};
   }
 
-  /// Nobody has ordered the machine before.
+  /// No earlier leader has ordered the machine.
   static CellBounds bounds() {
     CellBounds Result;
     Result.MachineOrderLease_ = Duration::zero();
@@ -96,12 +96,12 @@
     Term_->Commits_.stop();
     if (Commits_.joinable())
       Commits_.join();
-    // Its loops use what goes with this fixture.
+    // The loops use members of this fixture.
     while (Tested_.use_count() > 1 || Sessions_.use_count() > 2)
       framework::fibers::sleepFor(TestedManager::PlanInterval);
   }
 
-  /// The machine's worker comes up, and its first answer is lost.
+  /// The machine's worker is listed, and its first reply is lost.
   void comeUp() {
     Row_->Record_.Incarnation_ = {WorkerId("w1"), 1};
     Row_->Record_.Machine_ = Machine;
@@ -111,7 +111,7 @@
     Tested_->recordWorker(Row_->Record_);
   }
 
-  /// A task starts on the worker.
+  /// Starts a task on the worker.
   void startTask() {
     jobs::JobAccepted Job;
     Job.Spec_.Id_ = jobs::JobId("0123456789abcdef");
@@ -123,7 +123,7 @@
     Term_->Commits_.stage(Start);
   }
 
-  /// A wave asks for the machine's upkeep, and orders may leave.
+  /// A wave requests the machine's upkeep, and orders may be sent.
   void beginUpkeep() {
     Api_.Machines_.front().State_ = MachineState::Up;
     Term_->JournalLoaded_ = true;
@@ -156,10 +156,11 @@
 
 BOOST_FIXTURE_TEST_SUITE(MachineManagerTest, Fixture)
 
-// Tasks start a second time while they work, and a new worker gets no more. A
-// list of machines takes longer than it may be old; the worker comes up after
-// it was asked for, and it still shows the machine as down. Its age was counted
-// from its answer, so by then the worker had been silent for long enough.
+// Guards against tasks that start a second time while they run, on a worker
+// that then gets no more. A list request took longer than MaxListLag; the
+// worker came up after the request, and the reply still showed its machine as
+// down. The list's age was counted from the reply, by when the worker had been
+// silent for long enough.
 BOOST_AUTO_TEST_CASE(ListIsAsOldAsItsQuestion) {
   Api_.BeforeList_ = [&] {
     comeUp();
@@ -173,10 +174,9 @@
   BOOST_TEST(!Row_->Ended_);
 }
 
-// Tasks are lost with their machine while nothing is wrong with them. An order
-// has no answer and was not carried out; the machine's worker starts again by
-// itself, which settles the order, and is given tasks. The order was said again
-// without a look at them.
+// Guards against losing healthy tasks with their machine. An order was not
+// executed and got no reply; the worker restarted by itself, which settled the
+// order, and received tasks. The order was then repeated regardless of them.
 BOOST_AUTO_TEST_CASE(OrderIsNotRepeatedOverTasksThatHaveStartedSince) {
   Api_.BeforeUpkeep_ = [&] {
     comeUp();
@@ -188,9 +188,10 @@
   BOOST_TEST(Api_.Upkeeps_ == 1u);
 }
 
-// A worker after an upkeep gets no work: the answer comes when the machine is
-// back and its new worker has been given a task, and was taken for word of
-// whatever life is on the machine then. Lists are read until one would tell.
+// Guards against a worker that gets no tasks after an upkeep. The
+// acknowledgement arrived when the machine was back and its new worker had a
+// task, and was taken to end the life on the machine at that time. The test
+// waits for three more lists, which would end the worker.
 BOOST_AUTO_TEST_CASE(AnswerThatComesAfterTheNewWorkerSparesIt) {
   Api_.LostUpkeep_ = false;
   Api_.BeforeUpkeep_ = [&] {
--- a/src/cell/tests/machinetabletest.cpp
+++ b/src/cell/tests/machinetabletest.cpp
@@ -40,9 +40,9 @@
   BOOST_TEST(!Table.busy(Machine));
 }
 
-// More machines of a wave are down than may be: the store's history is dropped
-// and all workers' entries are read anew, those of machines among them that
-// went down a moment ago. Each took its machine for back.
+// Guards against too many machines of a wave being down. After the store has
+// dropped its history, all workers' entries are read again, including those of
+// machines that have just gone down; each made its machine appear to be back.
 BOOST_AUTO_TEST_CASE(EntryOfTheFormerWorkerDoesNotSettleTheOrder) {
   MachineTable Table(1500ms);
   Table.recordWorker(worker(1), Start);
@@ -53,10 +53,10 @@
   BOOST_TEST(Table.busy(Machine));
 }
 
-// More machines of a wave are down than may be: while the store's watches hear
-// nothing, a machine is moved and then ordered down by what the platform's list
-// says. The entry of the worker that came up after the move is seen only then,
-// and was taken for that after the upkeep.
+// Guards against too many machines of a wave being down. While the store's
+// watches receive nothing, a machine is moved and then ordered into upkeep
+// based on the platform's list. The entry of the worker that came up after the
+// move is seen only then, and was taken for the worker after the upkeep.
 BOOST_AUTO_TEST_CASE(LifeFromBeforeTheOrderDoesNotSettleIt) {
   MachineTable Table(2000ms);
   Table.recordWorker(worker(1), Start);
@@ -69,8 +69,8 @@
   BOOST_TEST(!Table.busy(Machine));
 }
 
-// A new holder must not order a machine that its predecessor ordered a moment
-// ago. It learns of the machine only later, by the list or by its worker.
+// A new leader must not order a machine that its predecessor ordered shortly
+// before, whether it learns of the machine from the list or from the worker.
 BOOST_AUTO_TEST_CASE(MachineIsLeftAloneHoweverItBecomesKnown) {
   MachineTable Table(1500ms);
   Table.blockOrdersUntil(Machine, Start + 3s);
@@ -82,10 +82,9 @@
   BOOST_TEST((Other.views()[Machine].NoOrderBefore_ == Start + 3s));
 }
 
-// Machines of the standby pool stay on for good: each new holder took the pool
-// in which it found a machine for its home.
-// The platform refuses a move (the worker leaves, the pool is of other
-// machines): the same order left again at each look, ten a second.
+// Guards against sending a move again at every planning step, ten times a
+// second, while the platform refuses it because the worker is leaving or the
+// pool does not take the machine.
 BOOST_AUTO_TEST_CASE(RefusedMachineIsLeftAloneForAWhile) {
   MachineTable Table(1500ms);
   Table.recordWorker(worker(1), Start);
@@ -96,6 +95,8 @@
               Start + 10ms + MachineTable::PauseAfterRefusal));
 }
 
+// Guards against machines of the standby pool that stay on forever: each new
+// leader took the pool in which it found a machine for its home.
 BOOST_AUTO_TEST_CASE(HomeIsKeptOverTakeovers) {
   MachineTable Table(1500ms);
   Table.setHome(Machine, PoolName("standby"));
@@ -103,8 +104,8 @@
   BOOST_TEST(Table.homes().at(Machine) == PoolName("standby"));
 }
 
-// The list lags: shown up within the time that the order takes at least, the
-// machine has not even gone down yet.
+// The list lags behind: a machine shown as up within the minimum duration of
+// the order has not even gone down yet.
 BOOST_AUTO_TEST_CASE(EarlyListDoesNotSettleTheOrder) {
   MachineTable Table(1500ms);
   Table.orderSent(Machine, 1500ms, Start);
@@ -117,8 +118,8 @@
   BOOST_TEST(!Table.busy(Machine));
 }
 
-// A worker that does not answer may be cut off and at work; only the list can
-// say before its lease ends that it is not.
+// A worker that does not reply may be unreachable but running. Before its lease
+// ends, only the list can show that it is gone.
 BOOST_AUTO_TEST_CASE(ListTellsWhichSilentWorkersAreGone) {
   MachineTable Table(1500ms);
   BOOST_TEST(!Table.showsWorkerGone(worker(1)));
@@ -135,9 +136,9 @@
   BOOST_TEST(Table.showsWorkerGone(worker(1)));
 }
 
-// An order that was done before is acknowledged as well, and an order that is
-// said again when the machine is back. Only the life that the order was given
-// for may count as ended by it, and only if a list that is newer says so.
+// The platform also acknowledges an order that it executed before, and one that
+// is repeated when the machine is back. Only the life for which the order was
+// sent may count as ended by it, and only if a newer list shows that.
 BOOST_AUTO_TEST_CASE(OrderEndsOnlyTheLifeThatItWasGivenFor) {
   MachineTable Table(1500ms);
   Table.recordWorker(worker(1), Start);
--- a/src/cell/tests/modelworker.h
+++ b/src/cell/tests/modelworker.h
@@ -15,7 +15,7 @@
 
 constexpr auto Lease = 6000ms;
 
-/// A worker as the platform describes it.
+/// A worker that behaves as the platform specifies.
 struct ModelWorker {
   WorkerId Id_;
   std::int64_t StartedMs_ = 1;
@@ -26,7 +26,7 @@
   std::set<RunName> Running_;
   std::vector<EndReport> Ends_;
   std::uint64_t NextEnd_ = 1;
-  /// Runs up to here of a task can not start any more.
+  /// For each task, the highest run number that can no longer start.
   std::map<TaskName, RunNumber> Blocked_;
 
   std::int64_t clockMs(TimePoint Now) const {
@@ -35,7 +35,7 @@
                Rate_ * static_cast<double>((Now - BornAt_).count()) / 1000.0);
   }
 
-  /// By value: the caller's run may be the one in the set.
+  /// Takes the run by value because the caller may pass an element of Running_.
   void end(RunName Run, EndKind Kind) {
     Running_.erase(Run);
     Ends_.push_back({NextEnd_++, Run, Kind, jobs::Checkpoint()});
--- a/src/cell/tests/pooldemandtest.cpp
+++ b/src/cell/tests/pooldemandtest.cpp
@@ -12,7 +12,7 @@
 const PoolName Kitchen("kitchen");
 constexpr std::int64_t Each = 500;
 
-/// A cell with one queue, whose jobs are late an hour after they have come.
+/// A cell with one queue, whose jobs are late one hour after their arrival.
 struct Fixture {
   Fixture() {
     QueueConfig Queue;
@@ -102,8 +102,8 @@
   BOOST_TEST(computePoolDemand(Table_, Config_, Learned_, Start).empty());
 }
 
-// One large job foretells nothing; only many small ones count as inflow, and
-// only while they are new.
+// A single large job predicts nothing: only many small jobs count as an arrival
+// rate, and only while they are recent.
 BOOST_AUTO_TEST_CASE(InflowIsOfTheJobsThatHaveJustCome) {
   for (int I = 0; I < 50; ++I) {
     jobs::StepSpec Small = step(1);
@@ -117,8 +117,8 @@
   BOOST_TEST(demand(2 * ArrivalWindow).PriorArrivals_.lowerEstimate() == 0);
 }
 
-// Short jobs that are done before the next look still tell how fast work comes
-// in; cancelled ones do not.
+// Short jobs that end before the next planning step still count towards the
+// arrival rate; cancelled ones do not.
 BOOST_AUTO_TEST_CASE(InflowCountsJobsThatAreDone) {
   jobs::StepSpec Small = step(1);
   Small.Estimate_ = 1s;
--- a/src/cell/tests/runmodel.h
+++ b/src/cell/tests/runmodel.h
@@ -7,19 +7,19 @@
 
 #include <array>
 
-// Workers, holders and the store's journal in virtual time around the real
-// rules (RunTracker, WorkerRow, CellTable). Orders are carried out at once,
-// late or never, answers get lost, leases lapse, workers start again, holders
-// follow each other while the former goes on for a while, jobs are cancelled,
-// and a holder knows no worker before it is listed. Whatever the order of
-// things: no task runs in two places, none runs again after its end was stored,
-// and no worker is given more than it has room for. Once things are quiet, what
-// runs of jobs that have ended ends within the time of a cancel.
+// Simulates workers, leaders and the journal in virtual time around the real
+// rules (RunTracker, WorkerRow, CellTable). Orders are executed at once, late
+// or never, replies are lost, leases expire, workers restart, a leader
+// continues for a while after its successor has taken over, jobs are cancelled,
+// and a leader knows no worker before it is listed. The model checks that under
+// every schedule no task runs in two places, no task runs again after its end
+// was stored, and no worker receives more than fits. Once the adversary stops,
+// the runs of ended jobs must end within the time allowed for a cancel.
 //
-// When a stop is sent, and that a worker with live runs is asked again and
-// again, is decided in fibers of Sessions; the model repeats that part: one
-// stop when it is ordered, and after each report one for each run that is
-// unwanted and has no stop on its way.
+// Fibers of WorkerSessions and RunStopper decide when a stop is sent, and keep
+// polling a worker with live runs. The model repeats that part: one stop when
+// it is ordered and, after each report, one for each unwanted run without a
+// stop in flight.
 
 namespace laburnumspread::cell::model {
 
@@ -30,19 +30,18 @@
 constexpr auto StoreLease = 1000ms;
 constexpr std::size_t WorkerCount = 2;
 constexpr std::uint32_t TaskCount = 2;
-/// So many jobs are open at the least, so that a cancel makes place for the
-/// next one.
+/// Minimum number of open jobs, so that a new job replaces a cancelled one.
 constexpr std::size_t OpenJobs = 2;
 constexpr int StartAttempts = 2;
-/// An answer that has not come by now will not.
+/// A reply that has not arrived after this time is lost.
 constexpr auto AnswerWait = 300ms;
-/// What a cancelled job's tasks have, by the platform's word: the cancel, then
-/// the stop.
+/// Time that the platform allows for the tasks of a cancelled job to end: for
+/// the cancel, then for the stop.
 constexpr auto CancelTime = 3000ms + 200ms;
-/// A message and its answer take one each while things are quiet.
+/// While the adversary is quiet, a message and its reply take one tick each.
 constexpr auto QuietTick = 50ms;
 constexpr int MaxTicksToList = 20;
-/// Each task fills a worker.
+/// Each task takes a whole worker.
 const Resources Room{1000, 0, 0};
 
 struct Journal {
@@ -50,7 +49,7 @@
   std::vector<Event> Log_;
 };
 
-/// An entry that leads, or believes so.
+/// An entry that leads, or assumes that it does.
 struct ModelLeader {
   explicit ModelLeader(FencingToken Token, TimePoint Now)
       : Token_(Token), ConfirmedAt_(Now), StartedAt_(Now), Tracker_(Table_) {}
@@ -60,10 +59,10 @@
   TimePoint StartedAt_;
   jobs::CellTable Table_;
   RunTracker Tracker_;
-  /// Empty where no worker is known.
+  /// Null for workers that are not known.
   std::array<WorkerRowPtr, WorkerCount> Rows_;
   std::set<WorkerIncarnation> EndedLives_;
-  /// Runs with a stop that has neither been answered nor given up.
+  /// Runs with a stop that was neither answered nor given up.
   std::set<RunName> StopsInFlight_;
   bool Active_ = true;
 
@@ -74,15 +73,15 @@
 
 using LeaderPtr = std::shared_ptr<ModelLeader>;
 
-/// An order on its way.
+/// An order in transit.
 struct Message {
   enum class Kind {
     Start,
     Hold,
     Stop,
-    /// Of a run that was meant for a former life.
+    /// Stops a run that was sent to a former life.
     StopStaleStart,
-    /// Of a run that the journal does not know there.
+    /// Stops a run that the journal does not show on the worker.
     StopUnknown,
   };
   Kind Kind_ = Kind::Hold;
@@ -95,7 +94,7 @@
   HoldOrder Hold_;
   int Attempt_ = 0;
   bool Executed_ = false;
-  /// The sender waits no longer.
+  /// The sender no longer waits for the reply.
   bool Abandoned_ = false;
   OrderReply Reply_;
   HoldReply Report_;
@@ -113,7 +112,7 @@
     takeOver(ListAll);
   }
 
-  /// One step of the adversary.
+  /// Executes one step of the adversary.
   void step(int Choice, int Detail) {
     switch (Choice) {
     case 0:
@@ -133,7 +132,8 @@
     case 8:
       return finishSomething(Detail);
     case 9:
-      // A former process of the same entry is dead and need not be waited for.
+      // An earlier process of the same entry has ended, so its lease need not
+      // expire first.
       if (Detail % 4 == 0)
         Leaders_.back()->Active_ = false;
       if (Now_ - Leaders_.back()->ConfirmedAt_ > StoreLease ||
@@ -153,7 +153,7 @@
     case 13:
     case 14:
       return changeList(Detail);
-    // Without hindrance, so that schedules come far.
+    // Uninterrupted steps, so that schedules make progress.
     case 15:
       startSomething(Detail);
       return deliverLast();
@@ -173,10 +173,11 @@
     }
   }
 
-  /// After a last cancel the adversary goes quiet: the last holder leads,
-  /// workers are listed by and by, and every message is carried out and
-  /// answered. After the time of a cancel nothing of an ended job is left, on
-  /// workers or in the tables, and nothing that this holder has told to stop.
+  /// Cancels a last job and stops the adversary: the last leader stays, workers
+  /// are listed one after the other, and every message is executed and
+  /// answered. After the time allowed for a cancel, no run of an ended job, and
+  /// none that this leader ordered to stop, may be left on the workers or in
+  /// the tables.
   void settle(int Detail) {
     cancelSomething(Detail);
     if (!Leaders_.back()->Active_)
@@ -198,7 +199,7 @@
   static constexpr int Details = 60;
 
   std::uint64_t starts() const { return Starts_; }
-  /// Tasks of ended jobs that were at work when the adversary went quiet.
+  /// Number of runs of ended jobs that were active when the adversary stopped.
   std::uint64_t runsToStop() const { return RunsToStop_; }
 
 private:
@@ -208,23 +209,23 @@
     return static_cast<std::size_t>(Detail) % Size;
   }
 
-  /// The store confirms the holder meanwhile, or does not.
+  /// The store confirms the leader meanwhile, or does not.
   void passTime(int Detail) {
     Now_ += std::chrono::milliseconds(20 + Detail * 37);
     if (Detail % 4 != 0)
       Leaders_.back()->ConfirmedAt_ = Now_;
   }
 
-  /// Newer holders are chosen more often; former ones go on for a while.
+  /// Prefers the newest leader; earlier ones may still be active.
   LeaderPtr someLeader(int Detail) {
     return Detail % 3 == 0 ? Leaders_[pick(Detail / 3, Leaders_.size())]
                            : Leaders_.back();
   }
 
-  /// A holder begins. The bits of \p Listed name the workers that it knows when
-  /// it looks for what its predecessors have left over.
+  /// Starts a leader. The bits of \p Listed select the workers that it knows
+  /// when it looks for runs that its predecessors left behind.
   void takeOver(int Listed) {
-    // The former holder's head is gone: the store confirms it no more.
+    // The former leader's head key is gone, so the store no longer confirms it.
     Journal_.Head_ = FencingToken(++Revision_);
     auto Leader = std::make_shared<ModelLeader>(Journal_.Head_, Now_);
     for (const Event &Item : Journal_.Log_)
@@ -244,7 +245,7 @@
     const int What = Detail / 6 % 5;
     if (What == 0)
       return unlist(*Leader, I);
-    // The entry of a former life may stay for some seconds.
+    // The entry of a former life may stay listed for some seconds.
     list(*Leader, I, Workers_[I].StartedMs_ - (What == 1 ? 1 : 0));
   }
 
@@ -270,7 +271,7 @@
       list(Leader, I, Workers_[I].StartedMs_);
   }
 
-  /// The row goes with the last reason to ask the worker.
+  /// The row is removed once there is no more reason to poll the worker.
   static void unlist(ModelLeader &Leader, std::size_t I) {
     WorkerRowPtr &Row = Leader.Rows_[I];
     if (!Row)
@@ -292,7 +293,7 @@
            Leader.Table_.usageOf(Row.Record_.Incarnation_) != nullptr;
   }
 
-  /// Commits events, or ends the holder.
+  /// Commits events, or ends the leader.
   bool commit(ModelLeader &Leader, const std::vector<Event> &Events) {
     if (Leader.Token_ != Journal_.Head_) {
       Leader.Active_ = false;
@@ -387,7 +388,7 @@
     send(Leader, Row, std::move(Item));
   }
 
-  /// A run is to be stopped though its job goes on, as when its worker drains.
+  /// Stops a run of a job that continues, as when its worker drains.
   void stopSomething(int Detail) {
     const LeaderPtr Leader = someLeader(Detail);
     const WorkerRowPtr Row = Leader->Rows_[pick(Detail, WorkerCount)];
@@ -407,7 +408,8 @@
         std::next(Open.begin(), static_cast<std::ptrdiff_t>(Which))->second;
     if (!commit(*Leader, {jobs::JobCancelled{Id}}))
       return;
-    // The store's answer is lost: the holder ends and has stopped nothing.
+    // The store's reply is lost: the leader ends before it has stopped
+    // anything.
     if (Detail % 5 == 0)
       Leader->Active_ = false;
     stopJob(Leader, Id);
@@ -423,7 +425,8 @@
       stop(Leader, Run);
   }
 
-  /// Orders a stop; without the worker it is left to its reports.
+  /// Orders a stop. If the worker is not known, its reports trigger the stop
+  /// later.
   void stop(const LeaderPtr &Leader, const RunName &Run) {
     jobs::LiveRun *Live = Leader->Table_.findLive(Run);
     if (!Live)
@@ -461,8 +464,9 @@
                  Detail % 5 == 0 ? EndKind::Failed : EndKind::Done);
   }
 
-  /// What was sent to a process that has ended since went with its
-  /// connections; what is sent later, still for the former life, arrives soon.
+  /// Messages sent to an earlier process before the restart were lost with its
+  /// connections; those sent to the former life afterwards arrive within
+  /// MaxStaleOrderDelay.
   bool arrives(const Message &Item) const {
     const ModelWorker &Worker = Workers_[Item.To_];
     return Item.Born_ == Worker.StartedMs_ ||
@@ -614,7 +618,7 @@
       return false;
     for (const RunTracker::EndedRun &Item : Ended)
       Leader.Tracker_.forget(Item.Run_);
-    // A job that has failed for good has no use for its other tasks.
+    // The remaining tasks of a job that has failed are stopped.
     for (const RunTracker::EndedRun &Item : Ended)
       if (Leader.Table_.find(Item.Run_.Task_.Job_)->ended())
         stopJob(From, Item.Run_.Task_.Job_);
@@ -635,7 +639,7 @@
     const MessagePtr Item = openMessage(Detail, false);
     if (!Item || Now_ - Item->SentAt_ < AnswerWait)
       return;
-    // Half of what was not carried out never will be.
+    // Half of the messages not executed yet never will be.
     Item->Executed_ = Item->Executed_ || Detail % 2 == 0;
     loseAnswer(Item);
   }
@@ -654,7 +658,7 @@
         loseRuns(Item->From_, Row.Record_.Incarnation_);
       return;
     }
-    // Attempts follow each other within the window of the start.
+    // Further attempts are sent only within the window of the start.
     if (Item->Attempt_ + 1 >= StartAttempts ||
         Now_ - Item->SentAt_ > StartWindow ||
         !Leader.Table_.find(Item->Start_.Run_))
--- a/src/cell/tests/runmodeltest.cpp
+++ b/src/cell/tests/runmodeltest.cpp
@@ -8,7 +8,7 @@
 
 using model::Model;
 
-/// What the adversary does: choices with their details.
+/// Steps of the adversary: choices with their details.
 using Schedule = std::vector<std::pair<int, int>>;
 constexpr int LongestSchedule = 400;
 
@@ -39,8 +39,8 @@
     RunsToStop += World.runsToStop();
   };
   BOOST_TEST(rc::check("one place at a time, and an end", Property));
-  // The adversary must leave room for work, and leave work over, or the check
-  // says nothing.
+  // The check means nothing unless the adversary lets tasks start and leaves
+  // runs of ended jobs behind.
   BOOST_TEST(Starts > 1000u);
   BOOST_TEST(RunsToStop > 100u);
 }
--- a/src/cell/tests/runtrackertest.cpp
+++ b/src/cell/tests/runtrackertest.cpp
@@ -15,7 +15,8 @@
 const WorkerIncarnation Former{WorkerId("w"), 1};
 const WorkerIncarnation Elsewhere{WorkerId("x"), 2};
 
-/// Two jobs of two tasks, and the runs that a holder has read of them.
+/// Two jobs of two tasks, and their runs as a leader has read them from the
+/// journal.
 struct Fixture {
   Fixture() {
     accept("kept");
@@ -41,15 +42,16 @@
     Table_.apply(jobs::JobCancelled{JobId(Job)}, Now);
   }
 
-  /// By a report that answers a hold sent at \p SentAt.
+  /// As of a report that answers a hold sent at \p SentAt.
   std::vector<RunName>
   unwanted(const WorkerIncarnation &Worker,
            TimePoint SentAt = Now + RunTracker::MaxStopDuration) const {
     return Tracker_.unwanted(Worker, SentAt);
   }
 
-  /// Whether the run is over after some holds that do not list it. Each leaves
-  /// at once after the report before; \p StopAnswered comes a moment later.
+  /// Whether the run ends after some holds that do not report it. Each hold is
+  /// sent right after the previous report; \p StopAnswered is called 1 ms
+  /// later.
   template <typename Answer>
   bool isOver(const RunName &Run, const Answer &StopAnswered) {
     TimePoint Sent = Now;
@@ -82,9 +84,9 @@
   BOOST_TEST(unwanted(Former).empty());
 }
 
-// Tasks of a cancelled job ran on: their holder was gone before it had stopped
-// them, and the next one, which reads only the journal, knew no worker at the
-// moment at which it ordered the stops.
+// Guards against tasks of a cancelled job that go on running: their leader
+// ended before it had stopped them, and the next one, which reads only the
+// journal, knew no workers when it ordered the stops.
 BOOST_AUTO_TEST_CASE(RunsOfAnEndedJobAreUnwantedWithoutAnyOrder) {
   begin("kept", 0, Here);
   const RunName First = begin("gone", 0, Here);
@@ -94,9 +96,9 @@
   BOOST_TEST((unwanted(Elsewhere) == std::vector{Second}));
 }
 
-// A stop without an answer may not have been carried out, and one that was
-// answered need not have reached the life that runs the task. The run stays
-// unwanted until it has ended, so that each report asks for it once more.
+// A stop without a reply may not have been executed, and one with a reply may
+// not have reached the life that runs the task. The run stays unwanted until it
+// has ended, so that each report triggers another stop.
 BOOST_AUTO_TEST_CASE(ARunStaysUnwantedUntilItHasEnded) {
   const RunName Run = begin("gone", 0, Here);
   cancel("gone");
@@ -109,8 +111,9 @@
   BOOST_TEST(unwanted(Here).empty());
 }
 
-// The answer to a stop may come after the run was listed as ended. What it left
-// behind was kept for the rest of the term, a row for each cancelled run.
+// Guards against a leak: the reply to a stop may arrive after the run was
+// reported as ended, and the state recorded for it was kept for the rest of the
+// term, one entry per cancelled run.
 BOOST_AUTO_TEST_CASE(AnAnswerAfterTheEndLeavesNothing) {
   const RunName Run = begin("gone", 0, Here);
   jobs::RunEnded End;
@@ -121,8 +124,9 @@
   BOOST_TEST(!Tracker_.stopped(Run));
 }
 
-// A run that was told to stop is listed for a moment more. Stops without end
-// for such runs kept the holder of a large job's cancel busy.
+// A run that is being stopped is still reported for a moment. Guards against
+// repeating stops for such runs, which kept the leader busy when a large job
+// was cancelled.
 BOOST_AUTO_TEST_CASE(AReportWithinTheTimeOfAStopAsksForNoOther) {
   const RunName Run = begin("gone", 0, Here);
   cancel("gone");
@@ -136,10 +140,10 @@
       (unwanted(Here, Now + RunTracker::MaxStopDuration) == std::vector{Run}));
 }
 
-// A worker's process started again with a start on its way, and the worker went
-// out of use for good, its task nowhere at work: a stop of the former life's
-// run left after each report and was answered after the next hold had left. The
-// last answer counted, so no hold was ever sent after it.
+// Guards against a worker that is never used again while its task runs nowhere,
+// after its process restarted with a start in transit. A stop for the former
+// life's run was sent after each report and answered after the next hold had
+// been sent. The last reply counted, so no hold was ever sent after it.
 BOOST_AUTO_TEST_CASE(ARunOfAFormerLifeIsOverThoughAStopFollowsEachReport) {
   const RunName Run = begin("kept", 0, Former);
   Tracker_.runStaged(Run);
@@ -148,8 +152,8 @@
       Run, [&](TimePoint At) { Tracker_.stopAnsweredByLaterLife(Run, At); }));
 }
 
-// The same on the life that the run was meant for, once each report asks for
-// the stop of what is unwanted: the room of a cancelled job stayed taken.
+// The same on the life that the run was sent to, since each report triggers
+// stops for unwanted runs: the resources of a cancelled job were never freed.
 BOOST_AUTO_TEST_CASE(AnUnwantedRunIsOverThoughAStopFollowsEachReport) {
   const RunName Run = begin("gone", 0, Here);
   cancel("gone");
@@ -165,8 +169,8 @@
   BOOST_TEST((unwanted(Here) == std::vector{Run}));
 }
 
-// The later life does not run what its former one ran; such runs are settled by
-// its reports.
+// The later life does not run the tasks of the former one; its reports settle
+// them.
 BOOST_AUTO_TEST_CASE(RunsOfAFormerLifeAreNotStoppedOnTheNextOne) {
   const RunName Run = begin("gone", 0, Former);
   cancel("gone");
--- a/src/cell/tests/workertabletest.cpp
+++ b/src/cell/tests/workertabletest.cpp
@@ -35,14 +35,15 @@
   WorkerRow Row = syncedRow();
   const HoldOrder Order = Row.nextRenewal(Start + 500ms, Token, Lease, Wait);
   BOOST_TEST(Order.DeadlineMs_ == 1000 + 500 + 6000);
-  // The worker's clock may be two in a hundred slow.
+  // The worker's clock may run 2 % slow.
   BOOST_TEST((Row.LeaseExpiry_ > Start + 6500ms));
   BOOST_TEST((Row.LeaseExpiry_ < Start + 7700ms));
 }
 
-// A caller's standing task is never restarted: its worker leaves for good, the
-// holder asks it again and again, and each question renews the lease on paper.
-// The runs there then never count as lapsed, and no other worker gets them.
+// Guards against a long-running task that is never restarted. Its worker is
+// gone for good, the leader keeps polling it, and each request extended the
+// assumed lease. The runs there were then never considered expired, and no
+// other worker got them.
 BOOST_AUTO_TEST_CASE(UnansweredHoldsDoNotPutOffTheEndOfTheLease) {
   WorkerRow Row = syncedRow();
   Row.nextRenewal(Start, Token, Lease, Wait);
@@ -56,8 +57,8 @@
   BOOST_TEST((Row.LeaseExpiry_ == Ends));
 }
 
-// Callers wait for workers that are well: orders are carried out late now and
-// then, and each lost answer took its worker out of use for a look.
+// Guards against leaving healthy workers unused: orders are sometimes executed
+// late, and each lost reply took the worker out of use until the next poll.
 BOOST_AUTO_TEST_CASE(OneLostAnswerLeavesAWorkerInUse) {
   WorkerRow Row = syncedRow();
   Row.Unanswered_ = 1;
@@ -66,8 +67,8 @@
   BOOST_TEST(!Row.acceptsTasks());
 }
 
-// Answers on two connections overtake each other: the older clock must not
-// set the newer one back, or a lease would seem to end too early.
+// Replies on two connections may arrive out of order. An older clock reading
+// must not replace a newer one, or a lease would appear to end too early.
 BOOST_AUTO_TEST_CASE(OlderClockIsPassedOver) {
   WorkerRow Row = syncedRow();
   Row.updateClock(900, Start + 10ms);
@@ -75,10 +76,10 @@
   BOOST_TEST(Row.clockMs(Start + 50ms) == 1050);
 }
 
-// Tasks start a second time while they work, and their worker gets no more for
-// the rest of the term. The first answer of a worker that has just come up is
-// lost, and a list of machines from before it came up calls it gone: a row
-// without any answer counted as silent for as long as there is time.
+// Guards against tasks that start a second time while they run, on a worker
+// that gets no more for the rest of the term. The first reply of a new worker
+// was lost, and a machine list from before it came up showed it as gone: a
+// worker without any reply counted as silent since the beginning of time.
 BOOST_AUTO_TEST_CASE(ListFromBeforeAWorkerCameUpSaysNothingOfIt) {
   WorkerRow Row;
   Row.ListedAt_ = Start;
@@ -91,9 +92,9 @@
   BOOST_TEST(!Row.silentSince(Start + 3ms));
 }
 
-// Tasks were given to a worker whose machine had been ordered away, and were
-// lost with it: no list showed yet that it was gone. A worker that lives on,
-// as the order had been carried out before, answers and is used again.
+// Guards against sending tasks to a worker whose machine was ordered away,
+// which were lost because no list showed that yet. A worker that stays, because
+// the order had been executed before, replies and is used again.
 BOOST_AUTO_TEST_CASE(DoubtedWorkerIsGivenNothingUntilItAnswers) {
   WorkerRow Row;
   Row.Synced_ = true;
