--- a/src/cell/cellservice.h
+++ b/src/cell/cellservice.h
@@ -93,8 +93,8 @@
   /// the store has not confirmed it for so long that no more orders are sent: a
   /// leader without a connection to the store may never learn of its successor.
   void publishGauges(framework::metrics::Registry &Into) const {
-    const bool Acts = Term_ && Term_->maySendOrders();
-    (Acts ? Term_->gauges() : TermGauges()).publish(Into);
+    const bool Active = Term_ && Term_->maySendOrders();
+    (Active ? Term_->gauges() : TermGauges()).publish(Into);
   }
 
   /// Serves a call if this entry leads, else replies NotHolder. \p Reply is
@@ -156,8 +156,8 @@
     Calls_ = std::make_shared<JobCallHandler<Store, Client>>(Term_, Sessions_);
     Metrics_.counter("takeovers_total").add();
     framework::fibers::spawn(
-        [this, T = Term_, Sessions = Sessions_, Orders = Machines_] {
-          runTerm(T, Sessions, Orders);
+        [this, T = Term_, Sessions = Sessions_, Machines = Machines_] {
+          runTerm(T, Sessions, Machines);
         });
   }
 
@@ -178,7 +178,7 @@
   /// Runs a term from takeover to end. Uses the term's own objects, since the
   /// members may already belong to the next term.
   void runTerm(const TermPtr &T, const SessionsPtr &Sessions,
-               const MachinesPtr &Orders) {
+               const MachinesPtr &Machines) {
     const TimePoint Begun = now();
     if (!load(*T))
       return;
@@ -194,10 +194,12 @@
         .field("runs_unwanted", countUnwantedRuns(*T))
         .field("load_ms", (now() - Begun).count() / 1000);
     framework::fibers::spawn(
-        [List = std::make_shared<WorkerFollower<Store, Client, Service>>(
-             Store_, Directory_, T, Sessions, Orders)] { List->follow(); });
-    Orders->setWaves(Waves_);
-    Orders->start();
+        [Follower = std::make_shared<WorkerFollower<Store, Client, Service>>(
+             Store_, Directory_, T, Sessions, Machines)] {
+          Follower->follow();
+        });
+    Machines->setWaves(Waves_);
+    Machines->start();
     T->Commits_.run([this, T, Sessions] { schedule(*T, *Sessions); });
     if (Term_ == T)
       Elector_.endLeadership("the journal cannot be written");
@@ -299,11 +301,11 @@
     if (Newer != T.Workers_.end() && Newer->first.Id_ == Life.Id_)
       return TimePoint::max();
     const auto Ended = T.EndedLives_.find(Life);
-    const TimePoint Orders =
+    const TimePoint LastOrder =
         Ended == T.EndedLives_.end()
             ? T.StartedAt_
             : std::max(T.StartedAt_, Ended->second + MaxOrderDelay);
-    return inheritedLeaseExpiry(Orders, T.Bounds_.MaxLease_);
+    return inheritedLeaseExpiry(LastOrder, T.Bounds_.MaxLease_);
   }
 
   // Scheduling.
@@ -322,14 +324,14 @@
            Use ? Row->Record_.Capacity_ - Use->Used_ : Row->Record_.Capacity_,
            Row->Distrust_ < MinDistrust ? 0 : Row->Distrust_});
     }
-    const scheduling::Scheduler Decide(T.Table_, T.Config_, T.Estimates_,
-                                       T.Advice_);
-    const scheduling::Plan Next = Decide.plan(
+    const scheduling::Scheduler Planner(T.Table_, T.Config_, T.Estimates_,
+                                        T.Advice_);
+    const scheduling::Plan Plan = Planner.plan(
         Workers, {now(), framework::clock::toMillis(
                              framework::clock::SystemClock().now())});
-    for (const scheduling::StepName &Step : Next.AwaitingAdvice_)
+    for (const scheduling::StepName &Step : Plan.AwaitingAdvice_)
       askAdvice(T, Step, Workers);
-    for (const jobs::RunIntended &Item : Next.Starts_) {
+    for (const jobs::RunIntended &Item : Plan.Starts_) {
       Sessions.runStaged(Item.Run_);
       T.Commits_.stage(Item, [Item, S = Sessions_](CommitOutcome Outcome) {
         if (Outcome == CommitOutcome::Stored && S)
--- a/src/cell/commitqueue.h
+++ b/src/cell/commitqueue.h
@@ -113,11 +113,11 @@
     Events_.clear();
     Callbacks_.clear();
     Committing_ = true;
-    const auto Asked = framework::clock::SteadyClock().now();
+    const auto SentAt = framework::clock::SteadyClock().now();
     const absl::Status Written = Log_.append(Group);
     Committing_ = false;
     CommitSeconds_.record(std::chrono::duration<double>(
-                              framework::clock::SteadyClock().now() - Asked)
+                              framework::clock::SteadyClock().now() - SentAt)
                               .count());
     EventsCommitted_.add(Group.size());
     const auto Outcome =
--- a/src/cell/leaderelector.h
+++ b/src/cell/leaderelector.h
@@ -194,8 +194,8 @@
       DelayElapsed_ = false;
       // A head of this process with an unknown token is its own rewrite, seen
       // before the reply to it.
-      const bool Others = !Read->sameProcess(Leadership_.self());
-      if (Others && Leadership_.held() &&
+      const bool OtherProcess = !Read->sameProcess(Leadership_.self());
+      if (OtherProcess && Leadership_.held() &&
           Leadership_.token() != SeenLeader_.Token_)
         endLeadership("another leader was seen");
       else if (!Leadership_.held() &&
@@ -206,18 +206,18 @@
 
   /// Watches until the head key is deleted or the watch has to be restarted.
   void watchLeader(fleet::Revision After) {
-    bool Gone = false;
+    bool Deleted = false;
     const absl::Status Ended = Store_.watch(
         Keys_.head(), After.next(), [&](const store::WatchBatch &Batch) {
           for (const store::KeyValue &Item : Batch.Puts_)
             observeLeader(Item);
           for (const std::string &Key : Batch.Deletes_)
-            Gone = Gone || Key == Keys_.head();
-          return !Gone;
+            Deleted = Deleted || Key == Keys_.head();
+          return !Deleted;
         });
-    if (Gone && Leadership_.held())
+    if (Deleted && Leadership_.held())
       endLeadership("the head key was deleted");
-    if (Ended.ok() || Gone)
+    if (Ended.ok() || Deleted)
       return;
     StoreFailedAt_ = now();
     framework::fibers::sleepFor(CampaignPause);
--- a/src/cell/tests/callattemptstest.cpp
+++ b/src/cell/tests/callattemptstest.cpp
@@ -6,11 +6,11 @@
 
 BOOST_AUTO_TEST_SUITE(CallAttemptsTest)
 
-BOOST_AUTO_TEST_CASE(UnsentCallIsSurelyNotTaken) {
+BOOST_AUTO_TEST_CASE(UnsentCallIsNotAccepted) {
   BOOST_TEST(!CallAttempts().mayHaveBeenAccepted());
 }
 
-BOOST_AUTO_TEST_CASE(CallThatWasTurnedDownIsNotTaken) {
+BOOST_AUTO_TEST_CASE(RejectedCallIsNotAccepted) {
   CallAttempts Attempts;
   Attempts.sent();
   Attempts.rejected();
@@ -20,7 +20,7 @@
 // Guards against telling a caller "not run", so that it submits the job
 // elsewhere, although the job is in the journal: the first leader accepted the
 // call and died, and its successor rejected the second attempt.
-BOOST_AUTO_TEST_CASE(OneAnswerDoesNotSpeakForTwoSendings) {
+BOOST_AUTO_TEST_CASE(OneRejectionDoesNotCoverTwoAttempts) {
   CallAttempts Attempts;
   Attempts.sent();
   Attempts.sent();
@@ -31,7 +31,7 @@
 // Guards against answering "unknown" to a caller whose last attempt during an
 // outage has no time left. No leader was ever asked, and the caller would not
 // dare to submit the job again.
-BOOST_AUTO_TEST_CASE(CallWithoutTimeLeftIsNotTaken) {
+BOOST_AUTO_TEST_CASE(CallWithoutTimeLeftIsRefused) {
   CallRouter Router({[](const peers::JobCall &, const CallRouter::ReplyFn &) {},
                      [] { return false; }, [] { return journal::Leader(); },
                      [](const journal::Leader &) { return false; },
--- a/src/cell/tests/candidacytest.cpp
+++ b/src/cell/tests/candidacytest.cpp
@@ -9,16 +9,16 @@
 BOOST_AUTO_TEST_SUITE(CandidacyTest)
 
 BOOST_AUTO_TEST_CASE(EqualEntriesDoNotWait) {
-  Candidacy Mine(0.25);
-  BOOST_TEST((Mine.campaignDelay() == 0us));
-  Mine.recordWeight("other", 0.26);
-  BOOST_TEST((Mine.campaignDelay() == 0us));
+  Candidacy Own(0.25);
+  BOOST_TEST((Own.campaignDelay() == 0us));
+  Own.recordWeight("other", 0.26);
+  BOOST_TEST((Own.campaignDelay() == 0us));
 }
 
 // Guards against a weak leader: with a tenth of a core and several hundred
 // workers it delayed every start by seconds, while stronger entries were
 // available.
-BOOST_AUTO_TEST_CASE(WeakEntriesLetStrongOnesGoFirst) {
+BOOST_AUTO_TEST_CASE(EntriesOfLowerWeightWaitLonger) {
   Candidacy Weak(0.12), Middle(0.25), Strong(0.5);
   for (Candidacy *Entry : {&Weak, &Middle, &Strong}) {
     Entry->recordWeight("a", 0.12);
@@ -31,7 +31,7 @@
   BOOST_TEST((Weak.campaignDelay() <= Candidacy::MaxCampaignDelay));
 }
 
-BOOST_AUTO_TEST_CASE(NarrowLinkCountsAgainstAnEntry) {
+BOOST_AUTO_TEST_CASE(NarrowLinkLowersTheWeight) {
   BOOST_TEST(Candidacy::weightOf(0.5, 10) < Candidacy::weightOf(0.25, 200));
   BOOST_TEST(Candidacy::weightOf(0.5, 100) == Candidacy::weightOf(0.5, 1000));
 }
--- a/src/cell/tests/cellsettingstest.cpp
+++ b/src/cell/tests/cellsettingstest.cpp
@@ -19,7 +19,7 @@
          Changed + "}";
 }
 
-std::string faultOf(const std::string &Text) {
+std::string errorOf(const std::string &Text) {
   const auto Read = readCellSettings(Text, "file");
   return Read.ok() ? "" : std::string(Read.status().message());
 }
@@ -40,7 +40,7 @@
   BOOST_TEST((Read->Bounds_.MoveDuration_ == std::chrono::milliseconds(2500)));
 }
 
-BOOST_AUTO_TEST_CASE(PeersAreToldWhereToConnect) {
+BOOST_AUTO_TEST_CASE(AdvertisedPeerAddressIsOptional) {
   BOOST_TEST(!readCellSettings(settings(), "file")->AdvertisedPeerAddress_);
   std::string Text = settings();
   const std::string Peers = R"("peers": "127.0.0.1:3")";
@@ -53,15 +53,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(FaultsNameTheField) {
-  BOOST_TEST(faultOf("{").find("file") != std::string::npos);
-  BOOST_TEST(faultOf(R"({"kind": "cell"})").find("listen") !=
+  BOOST_TEST(errorOf("{").find("file") != std::string::npos);
+  BOOST_TEST(errorOf(R"({"kind": "cell"})").find("listen") !=
              std::string::npos);
-  BOOST_TEST(faultOf(settings(R"(, "bounds": {"graceSeconds": -1})"))
+  BOOST_TEST(errorOf(settings(R"(, "bounds": {"graceSeconds": -1})"))
                  .find("bounds.graceSeconds") != std::string::npos);
-  BOOST_TEST(faultOf(settings(R"(, "misspelt": 1)")).find("misspelt") !=
+  BOOST_TEST(errorOf(settings(R"(, "misspelt": 1)")).find("misspelt") !=
              std::string::npos);
   BOOST_TEST(
-      faultOf(settings(R"(, "log": {"level": "loud"})")).find("log.level") !=
+      errorOf(settings(R"(, "log": {"level": "loud"})")).find("log.level") !=
       std::string::npos);
 }
 
--- a/src/cell/tests/fillerpacecontrollertest.cpp
+++ b/src/cell/tests/fillerpacecontrollertest.cpp
@@ -14,8 +14,8 @@
 const jobs::RunName Filler{{jobs::JobId("f"), 0, 0, 0}, jobs::RunNumber(1)};
 const jobs::RunName Serving{{jobs::JobId("f"), 0, 1, 0}, jobs::RunNumber(1)};
 constexpr std::int64_t TargetMs = 100;
-constexpr std::int64_t FarBelow = 10;
-constexpr std::int64_t Over = 200;
+constexpr std::int64_t WellBelowTargetMs = 10;
+constexpr std::int64_t AboveTargetMs = 200;
 
 /// Records the paces that are sent.
 struct PaceClient {
@@ -83,25 +83,25 @@
 // reduced its pace, and the serving tasks had recovered when the next leader
 // took over. That one assumed that an unknown pace was the full one and sent
 // nothing.
-BOOST_AUTO_TEST_CASE(PaceThatAFormerHolderSetIsSetAnew) {
-  report(FarBelow);
+BOOST_AUTO_TEST_CASE(PaceSetByAnEarlierLeaderIsSentAgain) {
+  report(WellBelowTargetMs);
   BOOST_TEST(Client_.Sent_ == std::vector<int>{scheduling::Pacer::FullPercent});
-  report(FarBelow);
+  report(WellBelowTargetMs);
   BOOST_TEST(Client_.Sent_.size() == 1u);
 }
 
 // The same without a takeover: the reply to the last increase is lost, so it
 // may not have been executed, while the pacer is already at full pace.
-BOOST_AUTO_TEST_CASE(LastRaiseIsSentUntilItIsAnswered) {
-  report(Over);
+BOOST_AUTO_TEST_CASE(LastIncreaseIsRepeatedUntilAnswered) {
+  report(AboveTargetMs);
   Client_.Answer_ = OrderResult::Unknown;
   for (int Percent = scheduling::Pacer::FullPercent / 2;
        Percent < scheduling::Pacer::FullPercent;
        Percent += scheduling::Pacer::RaisePercent)
-    report(FarBelow);
+    report(WellBelowTargetMs);
   Client_.Answer_ = OrderResult::Done;
   Client_.Sent_.clear();
-  report(FarBelow);
+  report(WellBelowTargetMs);
   BOOST_TEST(Client_.Sent_ == std::vector<int>{scheduling::Pacer::FullPercent});
 }
 
@@ -109,9 +109,9 @@
 /// leader begins at full pace and needs no order until the pace changes.
 BOOST_AUTO_TEST_CASE(OwnRunIsPacedOnlyWhenThePaceChanges) {
   Fillers_.started(Filler);
-  report(FarBelow);
+  report(WellBelowTargetMs);
   BOOST_TEST(Client_.Sent_.empty());
-  report(Over);
+  report(AboveTargetMs);
   BOOST_TEST(Client_.Sent_ ==
              std::vector<int>{scheduling::Pacer::FullPercent / 2});
 }
--- a/src/cell/tests/machinemanagertest.cpp
+++ b/src/cell/tests/machinemanagertest.cpp
@@ -72,8 +72,8 @@
                                               Metrics_, bounds());
     Sessions_ = std::make_shared<WorkerSessions<FakeStore, SilentClient>>(
         Term_, Client_);
-    Tested_ = std::make_shared<TestedManager>(Term_, Sessions_, Store_, Api_,
-                                              reports());
+    Manager_ = std::make_shared<TestedManager>(Term_, Sessions_, Store_, Api_,
+                                               reports());
     MachineRecord Down;
     Down.Id_ = Machine;
     Api_.Machines_ = {Down};
@@ -97,18 +97,18 @@
     if (Commits_.joinable())
       Commits_.join();
     // The loops use members of this fixture.
-    while (Tested_.use_count() > 1 || Sessions_.use_count() > 2)
+    while (Manager_.use_count() > 1 || Sessions_.use_count() > 2)
       framework::fibers::sleepFor(TestedManager::PlanInterval);
   }
 
   /// The machine's worker is listed, and its first reply is lost.
-  void comeUp() {
+  void listWorker() {
     Row_->Record_.Incarnation_ = {WorkerId("w1"), 1};
     Row_->Record_.Machine_ = Machine;
     Row_->ListedAt_ = Term<FakeStore>::now();
     Row_->Unanswered_ = 1;
     Term_->Workers_[Row_->Record_.Incarnation_] = Row_;
-    Tested_->recordWorker(Row_->Record_);
+    Manager_->recordWorker(Row_->Record_);
   }
 
   /// Starts a task on the worker.
@@ -131,8 +131,8 @@
     WaveRecord Wave;
     Wave.Number_ = WaveNumber(7);
     Wave.Machines_ = {Machine};
-    Tested_->setWaves({{Wave.Number_, Wave}});
-    Tested_->start();
+    Manager_->setWaves({{Wave.Number_, Wave}});
+    Manager_->start();
   }
 
   std::uint64_t orders(const std::string &Result) {
@@ -147,7 +147,7 @@
   journal::Leadership<FakeStore> Leadership_{Store_, Keys, journal::Leader()};
   std::shared_ptr<Term<FakeStore>> Term_;
   std::shared_ptr<WorkerSessions<FakeStore, SilentClient>> Sessions_;
-  std::shared_ptr<TestedManager> Tested_;
+  std::shared_ptr<TestedManager> Manager_;
   WorkerRowPtr Row_ = std::make_shared<WorkerRow>();
   boost::fibers::fiber Commits_;
 };
@@ -161,14 +161,14 @@
 // worker came up after the request, and the reply still showed its machine as
 // down. The list's age was counted from the reply, by when the worker had been
 // silent for long enough.
-BOOST_AUTO_TEST_CASE(ListIsAsOldAsItsQuestion) {
+BOOST_AUTO_TEST_CASE(ListAgeCountsFromTheRequest) {
   Api_.BeforeList_ = [&] {
-    comeUp();
+    listWorker();
     while (
         !Row_->silentSince(Term<FakeStore>::now() - TestedManager::MaxListLag))
       framework::fibers::sleepFor(TestedManager::PlanInterval);
   };
-  Tested_->start();
+  Manager_->start();
   while (Api_.Lists_ == 0)
     framework::fibers::sleepFor(TestedManager::PlanInterval);
   BOOST_TEST(!Row_->Ended_);
@@ -177,9 +177,9 @@
 // Guards against losing healthy tasks with their machine. An order was not
 // executed and got no reply; the worker restarted by itself, which settled the
 // order, and received tasks. The order was then repeated regardless of them.
-BOOST_AUTO_TEST_CASE(OrderIsNotRepeatedOverTasksThatHaveStartedSince) {
+BOOST_AUTO_TEST_CASE(OrderIsNotRepeatedOnceNewTasksHaveStarted) {
   Api_.BeforeUpkeep_ = [&] {
-    comeUp();
+    listWorker();
     startTask();
   };
   beginUpkeep();
@@ -192,10 +192,10 @@
 // acknowledgement arrived when the machine was back and its new worker had a
 // task, and was taken to end the life on the machine at that time. The test
 // waits for three more lists, which would end the worker.
-BOOST_AUTO_TEST_CASE(AnswerThatComesAfterTheNewWorkerSparesIt) {
+BOOST_AUTO_TEST_CASE(LateAcknowledgementDoesNotEndTheNewWorker) {
   Api_.LostUpkeep_ = false;
   Api_.BeforeUpkeep_ = [&] {
-    comeUp();
+    listWorker();
     startTask();
   };
   beginUpkeep();
--- a/src/cell/tests/machinetabletest.cpp
+++ b/src/cell/tests/machinetabletest.cpp
@@ -71,7 +71,7 @@
 
 // A new leader must not order a machine that its predecessor ordered shortly
 // before, whether it learns of the machine from the list or from the worker.
-BOOST_AUTO_TEST_CASE(MachineIsLeftAloneHoweverItBecomesKnown) {
+BOOST_AUTO_TEST_CASE(OrdersAreBlockedHoweverTheMachineBecomesKnown) {
   MachineTable Table(1500ms);
   Table.blockOrdersUntil(Machine, Start + 3s);
   Table.recordWorker(worker(1), Start);
@@ -85,7 +85,7 @@
 // Guards against sending a move again at every planning step, ten times a
 // second, while the platform refuses it because the worker is leaving or the
 // pool does not take the machine.
-BOOST_AUTO_TEST_CASE(RefusedMachineIsLeftAloneForAWhile) {
+BOOST_AUTO_TEST_CASE(MoveIsNotRepeatedSoonAfterARefusal) {
   MachineTable Table(1500ms);
   Table.recordWorker(worker(1), Start);
   Table.orderSent(Machine, 1500ms, Start);
@@ -120,7 +120,7 @@
 
 // A worker that does not reply may be unreachable but running. Before its lease
 // ends, only the list can show that it is gone.
-BOOST_AUTO_TEST_CASE(ListTellsWhichSilentWorkersAreGone) {
+BOOST_AUTO_TEST_CASE(ListShowsWhichSilentWorkersAreGone) {
   MachineTable Table(1500ms);
   BOOST_TEST(!Table.showsWorkerGone(worker(1)));
   MachineRecord Up = listed(MachineState::Up);
@@ -139,7 +139,7 @@
 // The platform also acknowledges an order that it executed before, and one that
 // is repeated when the machine is back. Only the life for which the order was
 // sent may count as ended by it, and only if a newer list shows that.
-BOOST_AUTO_TEST_CASE(OrderEndsOnlyTheLifeThatItWasGivenFor) {
+BOOST_AUTO_TEST_CASE(OrderEndsOnlyTheLifeThatItWasSentFor) {
   MachineTable Table(1500ms);
   Table.recordWorker(worker(1), Start);
   Table.orderSent(Machine, 1500ms, Start);
--- a/src/cell/tests/pooldemandtest.cpp
+++ b/src/cell/tests/pooldemandtest.cpp
@@ -39,19 +39,20 @@
   }
 
   capacity::PoolDemand demand(Duration After) {
-    return computePoolDemand(Table_, Config_, Learned_, Start + After)[Kitchen];
+    return computePoolDemand(Table_, Config_, Estimates_,
+                             Start + After)[Kitchen];
   }
 
   jobs::CellTable Table_;
   CellConfig Config_;
-  scheduling::RunTimeEstimator Learned_;
+  scheduling::RunTimeEstimator Estimates_;
 };
 
 } // namespace
 
 BOOST_FIXTURE_TEST_SUITE(PoolDemandTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(StandingAndTimelyWorkAreToldApart) {
+BOOST_AUTO_TEST_CASE(LongRunningAndTimelyWorkAreSeparate) {
   jobs::StepSpec Standing = step(3);
   Standing.LongRunning_ = true;
   accept("a", {Standing});
@@ -62,7 +63,7 @@
   BOOST_TEST(demand(24h).FeasibleFinite_.MilliCpus_ == 0);
 }
 
-BOOST_AUTO_TEST_CASE(MemoryIsAskedForToo) {
+BOOST_AUTO_TEST_CASE(MemoryDemandIsCounted) {
   jobs::StepSpec Standing = step(3);
   Standing.LongRunning_ = true;
   Standing.PerTask_.MemoryMb_ = 4000;
@@ -70,7 +71,7 @@
   BOOST_TEST(demand(0s).LongRunning_.MemoryMb_ == 12000);
 }
 
-BOOST_AUTO_TEST_CASE(RoomForEachTaskThatLastsAndWaits) {
+BOOST_AUTO_TEST_CASE(WaitingLongRunningTasksNeedRoomForTheLargest) {
   jobs::StepSpec Wide = step(1), Deep = step(1), Finite = step(1);
   Wide.LongRunning_ = Deep.LongRunning_ = true;
   Wide.PerTask_ = {4000, 100, 0};
@@ -88,7 +89,7 @@
   BOOST_TEST((demand(0s).WaitingLongRunning_ == Deep.PerTask_));
 }
 
-BOOST_AUTO_TEST_CASE(FillersAndStepsThatWaitAskForNothing) {
+BOOST_AUTO_TEST_CASE(FillersAndBlockedStepsCreateNoDemand) {
   jobs::StepSpec Filler = step(7);
   Filler.Filler_ = true;
   jobs::StepSpec Second = step(5);
@@ -97,14 +98,14 @@
   BOOST_TEST(demand(10min).FeasibleFinite_.MilliCpus_ == Each);
 }
 
-BOOST_AUTO_TEST_CASE(JobsOfARemovedQueueAskForNothing) {
+BOOST_AUTO_TEST_CASE(JobsOfARemovedQueueCreateNoDemand) {
   accept("a", {step(4)}, "removed");
-  BOOST_TEST(computePoolDemand(Table_, Config_, Learned_, Start).empty());
+  BOOST_TEST(computePoolDemand(Table_, Config_, Estimates_, Start).empty());
 }
 
 // A single large job predicts nothing: only many small jobs count as an arrival
 // rate, and only while they are recent.
-BOOST_AUTO_TEST_CASE(InflowIsOfTheJobsThatHaveJustCome) {
+BOOST_AUTO_TEST_CASE(ArrivalRateCountsRecentJobsOnly) {
   for (int I = 0; I < 50; ++I) {
     jobs::StepSpec Small = step(1);
     Small.Estimate_ = 1s;
@@ -119,7 +120,7 @@
 
 // Short jobs that end before the next planning step still count towards the
 // arrival rate; cancelled ones do not.
-BOOST_AUTO_TEST_CASE(InflowCountsJobsThatAreDone) {
+BOOST_AUTO_TEST_CASE(ArrivalRateIncludesFinishedJobs) {
   jobs::StepSpec Small = step(1);
   Small.Estimate_ = 1s;
   const auto End = [&](const std::string &Id, jobs::EndKind Kind) {
--- a/src/cell/tests/runmodel.h
+++ b/src/cell/tests/runmodel.h
@@ -109,7 +109,7 @@
       Workers_[I].Id_ = WorkerId("w" + std::to_string(I));
       Workers_[I].Rate_ = I == 0 ? MinClockRate : 1;
     }
-    takeOver(ListAll);
+    takeOver(AllWorkers);
   }
 
   /// Executes one step of the adversary.
@@ -118,9 +118,9 @@
     case 0:
       return passTime(Detail);
     case 1:
-      return startSomething(Detail);
+      return startTask(Detail);
     case 2:
-      return holdSomething(Detail);
+      return holdWorker(Detail);
     case 3:
     case 4:
       return execute(Detail);
@@ -130,7 +130,7 @@
     case 7:
       return loseAnswer(Detail);
     case 8:
-      return finishSomething(Detail);
+      return finishRun(Detail);
     case 9:
       // An earlier process of the same entry has ended, so its lease need not
       // expire first.
@@ -145,25 +145,25 @@
         Workers_[pick(Detail, WorkerCount)].restart(Now_);
       return;
     case 11:
-      return stopSomething(Detail);
+      return stopRun(Detail);
     case 12:
       if (Detail / 3 % 4 == 0)
-        cancelSomething(Detail);
+        cancelJob(Detail);
       return;
     case 13:
     case 14:
       return changeList(Detail);
     // Uninterrupted steps, so that schedules make progress.
     case 15:
-      startSomething(Detail);
+      startTask(Detail);
       return deliverLast();
     case 16:
-      holdSomething(Detail);
+      holdWorker(Detail);
       return deliverLast();
     case 17:
       return deliverMessages();
     case 18:
-      return listAll(*Leaders_.back());
+      return listAllWorkers(*Leaders_.back());
     case 19:
       if (Detail / 3 % 4 == 0)
         settle(Detail);
@@ -179,13 +179,13 @@
   /// none that this leader ordered to stop, may be left on the workers or in
   /// the tables.
   void settle(int Detail) {
-    cancelSomething(Detail);
+    cancelJob(Detail);
     if (!Leaders_.back()->Active_)
       takeOver(Detail);
     RunsToStop_ += runsOfEndedJobs();
     const TimePoint Until = Now_ + CancelTime;
     for (int Tick = 0; Now_ < Until; ++Tick)
-      quietTick(Tick, Detail);
+      runQuietTick(Tick, Detail);
     RC_ASSERT(runsOfEndedJobs() == 0u);
     const jobs::CellTable &Table = Leaders_.back()->Table_;
     for (const auto &[Life, Use] : Table.workers())
@@ -203,7 +203,7 @@
   std::uint64_t runsToStop() const { return RunsToStop_; }
 
 private:
-  static constexpr int ListAll = (1 << WorkerCount) - 1;
+  static constexpr int AllWorkers = (1 << WorkerCount) - 1;
 
   static std::size_t pick(int Detail, std::size_t Size) {
     return static_cast<std::size_t>(Detail) % Size;
@@ -233,7 +233,7 @@
     Leaders_.push_back(Leader);
     for (std::size_t I = 0; I < WorkerCount; ++I)
       if ((Listed >> I) % 2 == 1)
-        list(*Leader, I, Workers_[I].StartedMs_);
+        listWorker(*Leader, I, Workers_[I].StartedMs_);
     for (const auto &[Id, Job] : Leader->Table_.jobs())
       if (Job.ended() && Job.LiveRuns_ > 0)
         stopJob(Leader, Id);
@@ -242,14 +242,14 @@
   void changeList(int Detail) {
     const LeaderPtr Leader = someLeader(Detail);
     const std::size_t I = pick(Detail, WorkerCount);
-    const int What = Detail / 6 % 5;
-    if (What == 0)
-      return unlist(*Leader, I);
+    const int Change = Detail / 6 % 5;
+    if (Change == 0)
+      return unlistWorker(*Leader, I);
     // The entry of a former life may stay listed for some seconds.
-    list(*Leader, I, Workers_[I].StartedMs_ - (What == 1 ? 1 : 0));
+    listWorker(*Leader, I, Workers_[I].StartedMs_ - (Change == 1 ? 1 : 0));
   }
 
-  void list(ModelLeader &Leader, std::size_t I, std::int64_t Born) {
+  void listWorker(ModelLeader &Leader, std::size_t I, std::int64_t Born) {
     const WorkerIncarnation Life{Workers_[I].Id_, Born};
     WorkerRowPtr &Row = Leader.Rows_[I];
     if (Born < 1 || Leader.EndedLives_.contains(Life) ||
@@ -266,13 +266,13 @@
     Row->ClockAt_ = Now_;
   }
 
-  void listAll(ModelLeader &Leader) {
+  void listAllWorkers(ModelLeader &Leader) {
     for (std::size_t I = 0; I < WorkerCount; ++I)
-      list(Leader, I, Workers_[I].StartedMs_);
+      listWorker(Leader, I, Workers_[I].StartedMs_);
   }
 
   /// The row is removed once there is no more reason to poll the worker.
-  static void unlist(ModelLeader &Leader, std::size_t I) {
+  static void unlistWorker(ModelLeader &Leader, std::size_t I) {
     WorkerRowPtr &Row = Leader.Rows_[I];
     if (!Row)
       return;
@@ -307,7 +307,7 @@
     return true;
   }
 
-  void startSomething(int Detail) {
+  void startTask(int Detail) {
     const LeaderPtr Leader = someLeader(Detail);
     if (!Leader->maySendOrders(Now_))
       return;
@@ -370,7 +370,7 @@
     Messages_.push_back(std::move(Item));
   }
 
-  void holdSomething(int Detail) {
+  void holdWorker(int Detail) {
     const LeaderPtr Leader = someLeader(Detail);
     if (Leader->maySendOrders(Now_))
       sendHold(Leader, pick(Detail / 2, WorkerCount));
@@ -389,7 +389,7 @@
   }
 
   /// Stops a run of a job that continues, as when its worker drains.
-  void stopSomething(int Detail) {
+  void stopRun(int Detail) {
     const LeaderPtr Leader = someLeader(Detail);
     const WorkerRowPtr Row = Leader->Rows_[pick(Detail, WorkerCount)];
     if (!Row || !Leader->maySendOrders(Now_))
@@ -398,7 +398,7 @@
       stop(Leader, *Use->Runs_.begin());
   }
 
-  void cancelSomething(int Detail) {
+  void cancelJob(int Detail) {
     const LeaderPtr Leader = someLeader(Detail);
     const auto &Open = Leader->Table_.open();
     if (!Leader->Active_ || Open.empty())
@@ -456,7 +456,7 @@
     send(Leader, Row, std::move(Item));
   }
 
-  void finishSomething(int Detail) {
+  void finishRun(int Detail) {
     ModelWorker &Worker = Workers_[pick(Detail, WorkerCount)];
     Worker.lapse(Now_);
     if (!Worker.Running_.empty())
@@ -502,14 +502,14 @@
 
   void checkStart(const RunName &Run) {
     ++Starts_;
-    std::size_t Places = 0;
+    std::size_t ActiveRuns = 0;
     for (ModelWorker &Worker : Workers_) {
       Worker.lapse(Now_);
       for (const RunName &Other : Worker.Running_)
-        Places += Other.Task_ == Run.Task_;
+        ActiveRuns += Other.Task_ == Run.Task_;
       RC_ASSERT(Worker.Running_.size() <= 1u);
     }
-    RC_ASSERT(Places <= 1u);
+    RC_ASSERT(ActiveRuns <= 1u);
     for (const Event &Item : Journal_.Log_)
       if (const auto *End = std::get_if<jobs::RunEnded>(&Item))
         RC_ASSERT(
@@ -672,13 +672,13 @@
     Messages_.push_back(std::move(Again));
   }
 
-  void quietTick(int Tick, int Detail) {
+  void runQuietTick(int Tick, int Detail) {
     Now_ += QuietTick;
     const LeaderPtr Leader = Leaders_.back();
     Leader->ConfirmedAt_ = Now_;
     for (std::size_t I = 0; I < WorkerCount; ++I)
       if (Tick >= (Detail << I) % MaxTicksToList)
-        list(*Leader, I, Workers_[I].StartedMs_);
+        listWorker(*Leader, I, Workers_[I].StartedMs_);
     deliverMessages();
     for (std::size_t I = 0; I < WorkerCount; ++I)
       if (const WorkerRowPtr Row = Leader->Rows_[I];
--- a/src/cell/tests/runmodeltest.cpp
+++ b/src/cell/tests/runmodeltest.cpp
@@ -26,17 +26,17 @@
 
 BOOST_AUTO_TEST_SUITE(RunModelTest)
 
-BOOST_AUTO_TEST_CASE(NoTaskRunsTwiceAndNoneRunsOnWhateverTheOrderOfThings) {
+BOOST_AUTO_TEST_CASE(NoTaskRunsTwiceAndEndedJobsAreStopped) {
   std::uint64_t Starts = 0;
   std::uint64_t RunsToStop = 0;
   const auto Property = [&] {
-    Model World;
+    Model Simulation;
     const Schedule Steps = *anySchedule();
     for (const auto &[Choice, Detail] : Steps)
-      World.step(Choice, Detail);
-    World.settle(*anyDetail());
-    Starts += World.starts();
-    RunsToStop += World.runsToStop();
+      Simulation.step(Choice, Detail);
+    Simulation.settle(*anyDetail());
+    Starts += Simulation.starts();
+    RunsToStop += Simulation.runsToStop();
   };
   BOOST_TEST(rc::check("one place at a time, and an end", Property));
   // The check means nothing unless the adversary lets tasks start and leaves
--- a/src/cell/tests/runtrackertest.cpp
+++ b/src/cell/tests/runtrackertest.cpp
@@ -11,9 +11,9 @@
 using jobs::RunNumber;
 
 const TimePoint Now(std::chrono::hours(1));
-const WorkerIncarnation Here{WorkerId("w"), 2};
-const WorkerIncarnation Former{WorkerId("w"), 1};
-const WorkerIncarnation Elsewhere{WorkerId("x"), 2};
+const WorkerIncarnation ThisLife{WorkerId("w"), 2};
+const WorkerIncarnation FormerLife{WorkerId("w"), 1};
+const WorkerIncarnation OtherWorker{WorkerId("x"), 2};
 
 /// Two jobs of two tasks, and their runs as a leader has read them from the
 /// journal.
@@ -31,8 +31,8 @@
     Table_.apply(Item, Now);
   }
 
-  RunName begin(const std::string &Job, std::uint32_t Task,
-                const WorkerIncarnation &On) {
+  RunName startRun(const std::string &Job, std::uint32_t Task,
+                   const WorkerIncarnation &On) {
     const RunName Run{{JobId(Job), 0, 0, Task}, RunNumber(1)};
     Table_.apply(jobs::RunIntended{Run, On}, Now);
     return Run;
@@ -53,17 +53,17 @@
   /// sent right after the previous report; \p StopAnswered is called 1 ms
   /// later.
   template <typename Answer>
-  bool isOver(const RunName &Run, const Answer &StopAnswered) {
-    TimePoint Sent = Now;
+  bool endsAfterHolds(const RunName &Run, const Answer &StopAnswered) {
+    TimePoint SentAt = Now;
     for (int Holds = 0; Holds < 10; ++Holds) {
       HoldReply Reply;
       Reply.Result_ = OrderResult::Done;
       for (const auto &Item :
-           Tracker_.processReport(Here, Reply, Sent, 0).Ended_)
+           Tracker_.processReport(ThisLife, Reply, SentAt, 0).Ended_)
         if (Item.Run_ == Run)
           return true;
-      Sent += std::chrono::milliseconds(800);
-      StopAnswered(Sent + std::chrono::milliseconds(1));
+      SentAt += std::chrono::milliseconds(800);
+      StopAnswered(SentAt + std::chrono::milliseconds(1));
     }
     return false;
   }
@@ -76,46 +76,46 @@
 
 BOOST_FIXTURE_TEST_SUITE(RunTrackerTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(WhatIsWantedIsNotStopped) {
-  begin("kept", 0, Here);
-  begin("gone", 0, Elsewhere);
+BOOST_AUTO_TEST_CASE(WantedRunsAreNotStopped) {
+  startRun("kept", 0, ThisLife);
+  startRun("gone", 0, OtherWorker);
   cancel("gone");
-  BOOST_TEST(unwanted(Here).empty());
-  BOOST_TEST(unwanted(Former).empty());
+  BOOST_TEST(unwanted(ThisLife).empty());
+  BOOST_TEST(unwanted(FormerLife).empty());
 }
 
 // Guards against tasks of a cancelled job that go on running: their leader
 // ended before it had stopped them, and the next one, which reads only the
 // journal, knew no workers when it ordered the stops.
-BOOST_AUTO_TEST_CASE(RunsOfAnEndedJobAreUnwantedWithoutAnyOrder) {
-  begin("kept", 0, Here);
-  const RunName First = begin("gone", 0, Here);
-  const RunName Second = begin("gone", 1, Elsewhere);
+BOOST_AUTO_TEST_CASE(RunsOfAnEndedJobAreUnwantedWithoutAStopOrder) {
+  startRun("kept", 0, ThisLife);
+  const RunName First = startRun("gone", 0, ThisLife);
+  const RunName Second = startRun("gone", 1, OtherWorker);
   cancel("gone");
-  BOOST_TEST((unwanted(Here) == std::vector{First}));
-  BOOST_TEST((unwanted(Elsewhere) == std::vector{Second}));
+  BOOST_TEST((unwanted(ThisLife) == std::vector{First}));
+  BOOST_TEST((unwanted(OtherWorker) == std::vector{Second}));
 }
 
 // A stop without a reply may not have been executed, and one with a reply may
 // not have reached the life that runs the task. The run stays unwanted until it
 // has ended, so that each report triggers another stop.
 BOOST_AUTO_TEST_CASE(ARunStaysUnwantedUntilItHasEnded) {
-  const RunName Run = begin("gone", 0, Here);
+  const RunName Run = startRun("gone", 0, ThisLife);
   cancel("gone");
   Tracker_.stopAnswered(Run, Now);
-  BOOST_TEST((unwanted(Here) == std::vector{Run}));
+  BOOST_TEST((unwanted(ThisLife) == std::vector{Run}));
   jobs::RunEnded End;
   End.Run_ = Run;
   Table_.apply(End, Now);
   Tracker_.forget(Run);
-  BOOST_TEST(unwanted(Here).empty());
+  BOOST_TEST(unwanted(ThisLife).empty());
 }
 
 // Guards against a leak: the reply to a stop may arrive after the run was
 // reported as ended, and the state recorded for it was kept for the rest of the
 // term, one entry per cancelled run.
-BOOST_AUTO_TEST_CASE(AnAnswerAfterTheEndLeavesNothing) {
-  const RunName Run = begin("gone", 0, Here);
+BOOST_AUTO_TEST_CASE(LateStopReplyLeavesNoState) {
+  const RunName Run = startRun("gone", 0, ThisLife);
   jobs::RunEnded End;
   End.Run_ = Run;
   Table_.apply(End, Now);
@@ -127,55 +127,55 @@
 // A run that is being stopped is still reported for a moment. Guards against
 // repeating stops for such runs, which kept the leader busy when a large job
 // was cancelled.
-BOOST_AUTO_TEST_CASE(AReportWithinTheTimeOfAStopAsksForNoOther) {
-  const RunName Run = begin("gone", 0, Here);
+BOOST_AUTO_TEST_CASE(ReportDuringAStopTriggersNoOther) {
+  const RunName Run = startRun("gone", 0, ThisLife);
   cancel("gone");
-  BOOST_TEST((unwanted(Here, Now) == std::vector{Run}));
+  BOOST_TEST((unwanted(ThisLife, Now) == std::vector{Run}));
   Tracker_.stopAnswered(Run, Now);
-  BOOST_TEST(unwanted(Here, Now).empty());
-  BOOST_TEST(unwanted(Here, Now + RunTracker::MaxStopDuration -
-                                std::chrono::milliseconds(1))
+  BOOST_TEST(unwanted(ThisLife, Now).empty());
+  BOOST_TEST(unwanted(ThisLife, Now + RunTracker::MaxStopDuration -
+                                    std::chrono::milliseconds(1))
                  .empty());
-  BOOST_TEST(
-      (unwanted(Here, Now + RunTracker::MaxStopDuration) == std::vector{Run}));
+  BOOST_TEST((unwanted(ThisLife, Now + RunTracker::MaxStopDuration) ==
+              std::vector{Run}));
 }
 
 // Guards against a worker that is never used again while its task runs nowhere,
 // after its process restarted with a start in transit. A stop for the former
 // life's run was sent after each report and answered after the next hold had
 // been sent. The last reply counted, so no hold was ever sent after it.
-BOOST_AUTO_TEST_CASE(ARunOfAFormerLifeIsOverThoughAStopFollowsEachReport) {
-  const RunName Run = begin("kept", 0, Former);
+BOOST_AUTO_TEST_CASE(RunOfAFormerLifeEndsThoughAStopFollowsEachReport) {
+  const RunName Run = startRun("kept", 0, FormerLife);
   Tracker_.runStaged(Run);
   Tracker_.startSent(Run, 1000);
-  BOOST_TEST(isOver(
+  BOOST_TEST(endsAfterHolds(
       Run, [&](TimePoint At) { Tracker_.stopAnsweredByLaterLife(Run, At); }));
 }
 
 // The same on the life that the run was sent to, since each report triggers
 // stops for unwanted runs: the resources of a cancelled job were never freed.
-BOOST_AUTO_TEST_CASE(AnUnwantedRunIsOverThoughAStopFollowsEachReport) {
-  const RunName Run = begin("gone", 0, Here);
+BOOST_AUTO_TEST_CASE(UnwantedRunEndsThoughAStopFollowsEachReport) {
+  const RunName Run = startRun("gone", 0, ThisLife);
   cancel("gone");
   Tracker_.runStaged(Run);
-  BOOST_TEST(
-      isOver(Run, [&](TimePoint At) { Tracker_.stopAnswered(Run, At); }));
+  BOOST_TEST(endsAfterHolds(
+      Run, [&](TimePoint At) { Tracker_.stopAnswered(Run, At); }));
 }
 
-BOOST_AUTO_TEST_CASE(ARunThatIsBeingStoppedIsUnwantedThoughItsJobGoesOn) {
-  const RunName Run = begin("kept", 0, Here);
-  begin("kept", 1, Here);
+BOOST_AUTO_TEST_CASE(RunBeingStoppedIsUnwantedThoughItsJobContinues) {
+  const RunName Run = startRun("kept", 0, ThisLife);
+  startRun("kept", 1, ThisLife);
   Table_.findLive(Run)->Stopping_ = true;
-  BOOST_TEST((unwanted(Here) == std::vector{Run}));
+  BOOST_TEST((unwanted(ThisLife) == std::vector{Run}));
 }
 
 // The later life does not run the tasks of the former one; its reports settle
 // them.
 BOOST_AUTO_TEST_CASE(RunsOfAFormerLifeAreNotStoppedOnTheNextOne) {
-  const RunName Run = begin("gone", 0, Former);
+  const RunName Run = startRun("gone", 0, FormerLife);
   cancel("gone");
-  BOOST_TEST(unwanted(Here).empty());
-  BOOST_TEST((unwanted(Former) == std::vector{Run}));
+  BOOST_TEST(unwanted(ThisLife).empty());
+  BOOST_TEST((unwanted(FormerLife) == std::vector{Run}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/cell/tests/workertabletest.cpp
+++ b/src/cell/tests/workertabletest.cpp
@@ -24,14 +24,14 @@
 
 BOOST_AUTO_TEST_SUITE(WorkerTableTest)
 
-BOOST_AUTO_TEST_CASE(FirstHoldOnlyLooks) {
+BOOST_AUTO_TEST_CASE(FirstHoldOnlyPolls) {
   WorkerRow Row;
   const HoldOrder Order = Row.nextRenewal(Start, Token, Lease, Wait);
   BOOST_TEST(Order.DeadlineMs_ == 0);
   BOOST_TEST((Row.LeaseExpiry_ == TimePoint()));
 }
 
-BOOST_AUTO_TEST_CASE(HoldAsksForAWholeLeaseOnTheWorkersClock) {
+BOOST_AUTO_TEST_CASE(HoldRequestsAFullLeaseOnTheWorkersClock) {
   WorkerRow Row = syncedRow();
   const HoldOrder Order = Row.nextRenewal(Start + 500ms, Token, Lease, Wait);
   BOOST_TEST(Order.DeadlineMs_ == 1000 + 500 + 6000);
@@ -44,22 +44,22 @@
 // gone for good, the leader keeps polling it, and each request extended the
 // assumed lease. The runs there were then never considered expired, and no
 // other worker got them.
-BOOST_AUTO_TEST_CASE(UnansweredHoldsDoNotPutOffTheEndOfTheLease) {
+BOOST_AUTO_TEST_CASE(UnansweredHoldsDoNotExtendTheLease) {
   WorkerRow Row = syncedRow();
   Row.nextRenewal(Start, Token, Lease, Wait);
-  const TimePoint Ends = Row.LeaseExpiry_;
+  const TimePoint Expiry = Row.LeaseExpiry_;
   for (int I = 1; I < 20; ++I) {
     Row.Unanswered_ = static_cast<std::uint32_t>(I);
     const HoldOrder Again =
         Row.nextRenewal(Start + I * 700ms, Token, Lease, Wait);
     BOOST_TEST(Again.DeadlineMs_ == 0);
   }
-  BOOST_TEST((Row.LeaseExpiry_ == Ends));
+  BOOST_TEST((Row.LeaseExpiry_ == Expiry));
 }
 
 // Guards against leaving healthy workers unused: orders are sometimes executed
 // late, and each lost reply took the worker out of use until the next poll.
-BOOST_AUTO_TEST_CASE(OneLostAnswerLeavesAWorkerInUse) {
+BOOST_AUTO_TEST_CASE(WorkerStaysInUseAfterOneLostReply) {
   WorkerRow Row = syncedRow();
   Row.Unanswered_ = 1;
   BOOST_TEST(Row.acceptsTasks());
@@ -69,7 +69,7 @@
 
 // Replies on two connections may arrive out of order. An older clock reading
 // must not replace a newer one, or a lease would appear to end too early.
-BOOST_AUTO_TEST_CASE(OlderClockIsPassedOver) {
+BOOST_AUTO_TEST_CASE(OlderClockReadingIsIgnored) {
   WorkerRow Row = syncedRow();
   Row.updateClock(900, Start + 10ms);
   BOOST_TEST(Row.ClockMs_ == 1000);
@@ -80,7 +80,7 @@
 // that gets no more for the rest of the term. The first reply of a new worker
 // was lost, and a machine list from before it came up showed it as gone: a
 // worker without any reply counted as silent since the beginning of time.
-BOOST_AUTO_TEST_CASE(ListFromBeforeAWorkerCameUpSaysNothingOfIt) {
+BOOST_AUTO_TEST_CASE(ListFromBeforeAWorkerWasListedIsIgnored) {
   WorkerRow Row;
   Row.ListedAt_ = Start;
   Row.Unanswered_ = 1;
@@ -95,7 +95,7 @@
 // Guards against sending tasks to a worker whose machine was ordered away,
 // which were lost because no list showed that yet. A worker that stays, because
 // the order had been executed before, replies and is used again.
-BOOST_AUTO_TEST_CASE(DoubtedWorkerIsGivenNothingUntilItAnswers) {
+BOOST_AUTO_TEST_CASE(SuspectWorkerReceivesNoTasksUntilItReplies) {
   WorkerRow Row;
   Row.Synced_ = true;
   BOOST_TEST(Row.acceptsTasks());
--- a/src/cell/workerfollower.h
+++ b/src/cell/workerfollower.h
@@ -98,14 +98,14 @@
   void addWorker(Term<Store> &T, const WorkerRecord &Record) {
     // A worker is one life on one machine, and an id belongs to one life at a
     // time.
-    std::vector<WorkerRowPtr> Over;
+    std::vector<WorkerRowPtr> Replaced;
     for (const auto &[Life, Row] : T.Workers_)
       if ((Life.Id_ == Record.Incarnation_.Id_ &&
            Life.StartedMs_ < Record.Incarnation_.StartedMs_) ||
           (!Record.Machine_.empty() && Life.Id_ != Record.Incarnation_.Id_ &&
            Row->Record_.Machine_ == Record.Machine_ &&
            Life.StartedMs_ < Record.Incarnation_.StartedMs_))
-        Over.push_back(Row);
+        Replaced.push_back(Row);
     auto Row = std::make_shared<WorkerRow>();
     Row->Record_ = Record;
     Row->ClockAt_ = now();
@@ -116,7 +116,7 @@
         .field("born_ms", Record.Incarnation_.StartedMs_)
         .field("pool", Record.Pool_.str());
     Sessions_->open(Row);
-    for (const WorkerRowPtr &Old : Over)
+    for (const WorkerRowPtr &Old : Replaced)
       Sessions_->endLife(*Old, "a newer life is listed",
                          Old->Record_.Incarnation_.Id_ ==
                              Record.Incarnation_.Id_);
--- a/src/cell/workersessions.h
+++ b/src/cell/workersessions.h
@@ -162,12 +162,12 @@
   HoldOrder nextHold(WorkerRow &Row) const {
     if (Row.HasUnknownRuns_ && !inUse(Row))
       return Row.nextPoll(Term_->Token_, BusyHoldWait);
-    const bool Soon = Row.HasUnknownRuns_ || runsFinite(Row);
+    const bool Busy = Row.HasUnknownRuns_ || hasFiniteRuns(Row);
     return Row.nextRenewal(now(), Term_->Token_, Term_->Bounds_.MaxLease_,
-                           Soon ? BusyHoldWait : HoldWait);
+                           Busy ? BusyHoldWait : HoldWait);
   }
 
-  bool runsFinite(const WorkerRow &Row) const {
+  bool hasFiniteRuns(const WorkerRow &Row) const {
     const jobs::WorkerUsage *Use =
         Term_->Table_.usageOf(Row.Record_.Incarnation_);
     return Use && std::any_of(Use->Runs_.begin(), Use->Runs_.end(),
@@ -232,11 +232,11 @@
     if (Last == Row.EndsStaged_)
       return;
     Row.EndsStaged_ = Last;
-    const WorkerRowPtr Kept = Term_->Workers_.at(Row.Record_.Incarnation_);
+    const WorkerRowPtr Shared = Term_->Workers_.at(Row.Record_.Incarnation_);
     auto Ready = std::make_shared<framework::fibers::Waiter>();
-    Term_->Commits_.whenStored([Kept, Last, Ready](CommitOutcome Outcome) {
+    Term_->Commits_.whenStored([Shared, Last, Ready](CommitOutcome Outcome) {
       if (Outcome == CommitOutcome::Stored)
-        Kept->EndsStored_ = std::max(Kept->EndsStored_, Last);
+        Shared->EndsStored_ = std::max(Shared->EndsStored_, Last);
       Ready->signal();
     });
     Ready->waitUntil(framework::clock::wallDeadline(HoldWait));
@@ -279,9 +279,9 @@
                  std::string(jobs::nameOf(Item.Kind_)) + "\"}")
         .add();
     const jobs::JobRow *Job = Term_->Table_.find(Run.Task_.Job_);
-    const bool Open = Job && !Job->ended();
+    const bool WasOpen = Job && !Job->ended();
     Term_->Commits_.stage(jobs::RunEnded{Run, Item.Kind_, Item.Saved_, 0});
-    if (Open && Job->ended())
+    if (WasOpen && Job->ended())
       logJobEnded(*Job, Run.Task_);
     stopRunsOfEndedJob(Run.Task_.Job_);
   }
--- a/src/cell/workertable.h
+++ b/src/cell/workertable.h
@@ -109,11 +109,11 @@
       Answers_.answered(Now - Expected);
   }
 
-  void updateClock(std::int64_t Told, TimePoint Now) {
+  void updateClock(std::int64_t ReportedMs, TimePoint Now) {
     // Replies on different connections may arrive out of order.
-    if (Told < ClockMs_)
+    if (ReportedMs < ClockMs_)
       return;
-    ClockMs_ = Told;
+    ClockMs_ = ReportedMs;
     ClockAt_ = Now;
   }
 
@@ -122,14 +122,15 @@
   /// deadline maps to a later local time. A restarted process has a new clock,
   /// on which the deadline lies far in the future; there the order is limited
   /// by the longest lease only.
-  void recordOrder(std::int64_t DeadlineMs, TimePoint Now, Duration Longest) {
-    const double Left = static_cast<double>(DeadlineMs - ClockMs_) * 1000.0;
-    const auto Span =
-        Duration(static_cast<std::int64_t>(std::max(0.0, Left) / MinClockRate));
-    const auto Anew = Duration(static_cast<std::int64_t>(
-        static_cast<double>(Longest.count()) / MinClockRate));
-    LeaseExpiry_ = std::max(
-        {LeaseExpiry_, ClockAt_ + Span, Now + MaxStaleOrderDelay + Anew});
+  void recordOrder(std::int64_t DeadlineMs, TimePoint Now, Duration MaxLease) {
+    const double LeftMicros =
+        static_cast<double>(DeadlineMs - ClockMs_) * 1000.0;
+    const auto Span = Duration(
+        static_cast<std::int64_t>(std::max(0.0, LeftMicros) / MinClockRate));
+    const auto NewProcessSpan = Duration(static_cast<std::int64_t>(
+        static_cast<double>(MaxLease.count()) / MinClockRate));
+    LeaseExpiry_ = std::max({LeaseExpiry_, ClockAt_ + Span,
+                             Now + MaxStaleOrderDelay + NewProcessSpan});
   }
 
   /// Returns an order that requests a report without renewing the lease.
@@ -166,10 +167,10 @@
 
   /// Records the first reply to this leader. Runs ordered by an earlier leader
   /// may go on for one full lease from now.
-  void markSynced(TimePoint Now, Duration Longest) {
+  void markSynced(TimePoint Now, Duration MaxLease) {
     Synced_ = true;
     const auto Span = Duration(static_cast<std::int64_t>(
-        static_cast<double>(Longest.count()) / MinClockRate));
+        static_cast<double>(MaxLease.count()) / MinClockRate));
     LeaseExpiry_ = std::max(LeaseExpiry_, Now + Span);
   }
 
