--- a/src/cell/callergateway.h
+++ b/src/cell/callergateway.h
@@ -15,12 +15,14 @@
   Verb Verb_ = Verb::Other;
   std::string Host_;
   std::string Path_;
+  /// The caller's API key.
   std::string Key_;
   /// How long the caller waits for the answer.
   Duration Timeout_{};
   std::string Body_;
 };
 
+/// Outcome of a caller's request.
 enum class CallerStatus {
   /// The job is stored, or its cancellation is.
   Accepted,
@@ -38,8 +40,10 @@
   /// It is not known whether the request was accepted.
   Unknown,
 };
+/// Returns the name used in logs and metrics.
 std::string_view nameOf(CallerStatus Status);
 
+/// Answer to a caller's request.
 struct CallerAnswer {
   CallerStatus Status_ = CallerStatus::Unknown;
   std::string State_;
--- a/src/cell/callrouter.h
+++ b/src/cell/callrouter.h
@@ -18,6 +18,7 @@
 /// Counts the attempts to send a call that may have been accepted.
 class CallAttempts {
 public:
+  /// A further attempt was sent.
   void sent() { ++Unrejected_; }
   /// One of the attempts was rejected without being processed.
   void rejected() {
--- a/src/cell/cellservice.h
+++ b/src/cell/cellservice.h
@@ -39,6 +39,8 @@
         Keys_(Keys), Bounds_(Bounds), Metrics_(Metrics),
         Elector_(S, Keys, std::move(Self), std::move(Own), leaderCallbacks()) {}
 
+  /// Starts the election, the periodic work and, once elected, the terms. \p
+  /// PeerAddress is announced to the peers.
   void start(std::string PeerAddress) {
     Elector_.start(std::move(PeerAddress));
     framework::fibers::spawn([this] { tickLoop(); });
@@ -69,12 +71,14 @@
   /// have received leases under the earlier bounds.
   void setBounds(const CellBounds &Bounds) { Bounds_ = Bounds; }
 
+  /// Sets the configuration in force.
   void setConfig(const CellConfig &Config) {
     Config_ = Config;
     if (Term_)
       adoptConfig(*Term_);
   }
 
+  /// Adds or updates a wave of machine upkeep.
   void setWave(const WaveRecord &Wave) {
     Waves_[Wave.Number_] = Wave;
     if (Machines_)
@@ -85,6 +89,7 @@
   bool leads() const {
     return serving() && !Term_->ended() && Elector_.isSoleLeader();
   }
+  /// The current term; null if this entry does not lead.
   const TermPtr &term() const { return Term_; }
   /// The last leader seen; its token is 0 if there is none.
   const journal::Leader &leader() const { return Elector_.leader(); }
--- a/src/cell/celltypes.h
+++ b/src/cell/celltypes.h
@@ -42,15 +42,21 @@
 struct CellBounds {
   /// Longest lease that a worker grants to the runs on it.
   Duration MaxLease_ = std::chrono::milliseconds(6000);
+  /// How long the status of an ended job is kept.
   Duration StatusRetention_ = std::chrono::seconds(120);
+  /// Time for all tasks of a gang to start; read from the settings but not
+  /// used.
   Duration GangTimeout_ = std::chrono::milliseconds(3000);
   /// Minimum time between machine orders of two successive leaders.
   Duration MachineOrderLease_ = std::chrono::milliseconds(3000);
   /// Run time of a job relative to its normal run time when its data is in
   /// another location.
   double RemoteDataFactor_ = 3;
+  /// Minimum time that the move of a machine takes.
   Duration MoveDuration_ = std::chrono::milliseconds(1500);
+  /// Minimum time that the upkeep of a machine takes.
   Duration UpkeepDuration_ = std::chrono::milliseconds(2000);
+  /// Time that the platform gives an entry to stop.
   Duration GracePeriod_ = std::chrono::seconds(6);
 
   bool operator==(const CellBounds &) const = default;
@@ -58,6 +64,7 @@
 
 // Orders to workers and their replies.
 
+/// Result of an order to a worker.
 enum class OrderResult {
   /// Executed by this order, or by an earlier identical one.
   Done,
@@ -66,8 +73,11 @@
   /// The run number is not higher than that of a run that was stopped or has
   /// ended on the worker.
   OldRun,
+  /// The deadline of the start had passed on the worker's clock.
   TooLate,
+  /// The worker lacks the resources for the task.
   NoRoom,
+  /// The worker refused the advisor's ticket.
   BadTicket,
   Malformed,
   /// The worker is unhealthy and did nothing.
@@ -78,23 +88,31 @@
   /// later.
   Unknown,
 };
+/// Returns the name used in logs and metrics.
 std::string_view nameOf(OrderResult Result);
 
+/// Reply to a start, a stop or a change of pace.
 struct OrderReply {
   OrderResult Result_ = OrderResult::Unknown;
   /// The worker's clock in milliseconds; 0 if the reply did not carry it.
   std::int64_t ClockMs_ = 0;
 };
 
+/// Starts one run of a task.
 struct StartOrder {
   jobs::RunName Run_;
   std::string_view Payload_;
+  /// Time on the worker's clock after which the worker ignores the order.
   std::int64_t DeadlineMs_ = 0;
   jobs::FencingToken Token_;
+  /// Checkpoint to resume from; empty for a start from the beginning.
   jobs::Checkpoint ResumeFrom_;
+  /// Ticket from the advisor; empty if the step needs none.
   std::string Ticket_;
 };
 
+/// Renews the lease of all runs on a worker and requests a report. The worker
+/// may delay its reply until a run ends.
 struct HoldOrder {
   /// Requested end of the lease on the worker's clock; 0 requests a report
   /// without renewing the lease.
@@ -103,25 +121,32 @@
   /// The leader has stored all run ends up to this number, so the worker may
   /// drop them.
   std::uint64_t AcknowledgedEnds_ = 0;
+  /// How long the worker may wait for a run to end before it replies.
   Duration Wait_{};
 };
 
+/// A run that is active on a worker.
 struct RunningReport {
   jobs::RunName Run_;
   jobs::Checkpoint Saved_;
+  /// Pace of the run in percent of full speed.
   int Percent_ = 0;
   /// Tail latency in milliseconds for serving tasks, CPU usage in thousandths
   /// of a core for all others.
   std::int64_t Measurement_ = 0;
 };
 
+/// A run that has ended on a worker.
 struct EndReport {
+  /// Sequence number of the end on this worker.
   std::uint64_t Number_ = 0;
   jobs::RunName Run_;
   jobs::EndKind Kind_ = jobs::EndKind::Lost;
   jobs::Checkpoint Saved_;
 };
 
+/// A worker's report of its active runs and of the ends that were not
+/// acknowledged yet.
 struct HoldReply {
   OrderResult Result_ = OrderResult::Unknown;
   std::int64_t ClockMs_ = 0;
@@ -150,12 +175,14 @@
   Fenced,
   /// The machine is not up, or is leaving.
   Busy,
+  /// The platform refused the wave that the order names.
   WrongWave,
   Malformed,
   /// The rate limit was exceeded; nothing was done.
   Refused,
   Unknown,
 };
+/// Returns the name used in logs and metrics.
 std::string_view nameOf(MachineResult Result);
 
 /// The platform's machine service.
--- a/src/cell/commitqueue.h
+++ b/src/cell/commitqueue.h
@@ -81,12 +81,14 @@
     finish(CommitOutcome::Unknown);
   }
 
+  /// Requests a pass of run() even if no event is staged.
   void wake() {
     WorkPending_ = true;
     if (Wake_)
       Wake_->signal();
   }
 
+  /// Ends run(); events not committed yet complete with Unknown.
   void stop() {
     Stopped_ = true;
     wake();
@@ -96,6 +98,7 @@
   bool stalled() const {
     return Log_.stalled(framework::clock::SteadyClock().now());
   }
+  /// Whether no event is staged or being committed.
   bool idle() const { return Events_.empty() && !Committing_; }
 
 private:
--- a/src/cell/fillerpacecontroller.h
+++ b/src/cell/fillerpacecontroller.h
@@ -47,6 +47,7 @@
     }
   }
 
+  /// Drops the state of a run that has ended.
   void forget(const jobs::RunName &Run) { SentPaces_->erase(Run); }
 
 private:
--- a/src/cell/leaderelector.h
+++ b/src/cell/leaderelector.h
@@ -74,6 +74,7 @@
       : Store_(S), Keys_(Keys), Candidacy_(std::move(Own)),
         Events_(std::move(Events)), Leadership_(S, Keys, std::move(Self)) {}
 
+  /// Starts the election. \p PeerAddress is published in the head key.
   void start(std::string PeerAddress) {
     Leadership_.setPeerAddress(std::move(PeerAddress));
     framework::fibers::spawn([this] { electionLoop(); });
@@ -83,6 +84,7 @@
   /// Stops seeking, offering and taking over leadership. A leadership that is
   /// held remains so until resign().
   void stopCampaigning() { Leaving_ = true; }
+  /// Whether stopCampaigning() was called.
   bool leaving() const { return Leaving_; }
 
   /// Releases the head key, after stopCampaigning().
--- a/src/cell/machinemanager.h
+++ b/src/cell/machinemanager.h
@@ -48,6 +48,8 @@
         Orders_(std::make_shared<MachineOrders<Store, Service>>(Term_, Api,
                                                                 Table_)) {}
 
+  /// Loads the machines ordered by earlier leaders and starts the list and
+  /// planning loops.
   void start() {
     for (const auto &[Machine, Order] : Term_->Table_.machineOrders()) {
       Table_->setHome(Machine, Order.HomePool_);
@@ -61,6 +63,7 @@
         [Self = this->shared_from_this()] { Self->planLoop(); });
   }
 
+  /// Adds waves that were not known before.
   void setWaves(const std::map<WaveNumber, WaveRecord> &Waves) {
     for (const auto &[Number, Record] : Waves) {
       auto [Row, Fresh] = Waves_.try_emplace(Number);
--- a/src/cell/machineorders.h
+++ b/src/cell/machineorders.h
@@ -25,6 +25,7 @@
                 std::shared_ptr<MachineTable> Table)
       : Term_(std::move(T)), Api_(Api), Table_(std::move(Table)) {}
 
+  /// Whether machine orders may be sent at present.
   bool maySendOrders() const {
     return !Term_->ended() &&
            now() - Term_->Leadership_.confirmedAt() < MaxConfirmationAge;
--- a/src/cell/machinetable.h
+++ b/src/cell/machinetable.h
@@ -51,6 +51,7 @@
   /// and each order is billed.
   void orderRefused(const MachineId &Machine, TimePoint Now);
 
+  /// Whether an order for the machine is open.
   bool busy(const MachineId &Machine) const {
     return Orders_.contains(Machine);
   }
@@ -64,6 +65,8 @@
     OrdersBlockedUntil_[Machine] = Until;
   }
 
+  /// Whether the worker on the machine receives no tasks, because an order is
+  /// open or an upkeep is planned.
   bool heldBack(const MachineId &Machine) const;
 
   /// Whether the platform's list shows that a worker's process is gone: its
--- a/src/cell/runtracker.h
+++ b/src/cell/runtracker.h
@@ -31,6 +31,7 @@
 /// stop for it.
 class RunTracker {
 public:
+  /// A run that has ended, and the reason for the log.
   struct EndedRun {
     jobs::RunName Run_;
     jobs::EndKind Kind_ = jobs::EndKind::Lost;
--- a/src/cell/term.h
+++ b/src/cell/term.h
@@ -23,6 +23,7 @@
 
   static TimePoint now() { return framework::clock::SteadyClock().now(); }
 
+  /// Returns the time since \p When in milliseconds.
   static std::int64_t sinceMs(TimePoint When) {
     return std::chrono::duration_cast<std::chrono::milliseconds>(now() - When)
         .count();
@@ -41,6 +42,7 @@
     Row.wake();
   }
 
+  /// Whether the leadership has ended; fibers of the term then stop.
   bool ended() const { return Ended_ || !Leadership_.holds(Reign_); }
 
   /// Whether orders may be sent to workers: the term is not over, and the store
@@ -49,10 +51,13 @@
     return !ended() && now() - Leadership_.confirmedAt() < StoreOutageTolerance;
   }
 
+  /// Returns the time after which no run ordered by an earlier leader is active
+  /// on a worker that has not replied to this one.
   TimePoint inheritedLeaseExpiry() const {
     return cell::inheritedLeaseExpiry(StartedAt_, Bounds_.MaxLease_);
   }
 
+  /// Computes the metrics of the term.
   TermGauges gauges() const {
     TermGauges Result;
     Result.Token_ = Token_.value();
@@ -100,6 +105,7 @@
   /// Whether the journal has been replayed. Until then the tables are
   /// incomplete.
   bool JournalLoaded_ = false;
+  /// Set when the leadership ended.
   bool Ended_ = false;
   /// Set when a worker refused the fencing token: a later leader exists.
   bool Superseded_ = false;
--- a/src/cell/termgauges.h
+++ b/src/cell/termgauges.h
@@ -22,6 +22,7 @@
   std::size_t WorkersSilent_ = 0;
   bool StoreStalled_ = false;
 
+  /// Writes the values to the gauges in \p Into.
   void publish(framework::metrics::Registry &Into) const;
 };
 
--- a/src/cell/workertable.h
+++ b/src/cell/workertable.h
@@ -109,6 +109,7 @@
       Answers_.answered(Now - Expected);
   }
 
+  /// Records a reading of the worker's clock, in milliseconds.
   void updateClock(std::int64_t ReportedMs, TimePoint Now) {
     // Replies on different connections may arrive out of order.
     if (ReportedMs < ClockMs_)
@@ -187,11 +188,13 @@
     wake();
   }
 
+  /// Whether new tasks may be started on the worker.
   bool acceptsTasks() const {
     return Listed_ && Synced_ && !Ended_ && !MayRunStaleStarts_ &&
            !Record_.Draining_ && Unanswered_ <= MaxUnansweredInUse;
   }
 
+  /// Wakes the worker's session if it is idle.
   void wake() {
     if (Wake_)
       Wake_->signal();
