--- a/src/cell/callcheck.h
+++ b/src/cell/callcheck.h
@@ -8,7 +8,7 @@
 namespace laburnumspread::cell {
 
 /// Rechecks a call that an entry admitted under an older configuration than the
-/// leader has in force. Returns the verdict to refuse it with, or nullopt if it
+/// leader has in force. Returns the status to refuse it with, or nullopt if it
 /// is allowed, its configuration is not older, or it carries no origin.
 ///
 /// Guards against an entry that has lost the store and keeps accepting calls
--- a/src/cell/callrouter.h
+++ b/src/cell/callrouter.h
@@ -56,7 +56,7 @@
 
   explicit CallRouter(Routes P) : Routes_(std::move(P)) {}
 
-  /// Waits for the reply of the leader. The verdict is Refused if no leader can
+  /// Waits for the reply of the leader. The status is Refused if no leader can
   /// have accepted the call by \p LeaderDeadline or \p Deadline; if one may
   /// have accepted it and no reply arrived, it is Unknown at \p Deadline.
   peers::JobReply call(peers::JobCall Call, TimePoint LeaderDeadline,
--- a/src/cell/cellservice.h
+++ b/src/cell/cellservice.h
@@ -102,7 +102,7 @@
     (Active ? Term_->gauges() : TermGauges()).publish(Into);
   }
 
-  /// Serves a call if this entry leads, else replies NotHolder. \p Reply is
+  /// Serves a call if this entry leads, else replies NotLeader. \p Reply is
   /// called once, possibly later.
   void handle(const peers::JobCall &Call, const JobReplyFn &Reply) {
     if (!leads())
@@ -131,7 +131,7 @@
     return Result;
   }
 
-  /// Returns the verdict to refuse a call with under a newer configuration, or
+  /// Returns the status to refuse a call with under a newer configuration, or
   /// nullopt. A resent submission whose job is already stored is not refused.
   std::optional<peers::JobCallStatus>
   refusalFor(const peers::JobCall &Call) const {
@@ -172,7 +172,7 @@
         .field("reason", Reason);
     Term_->Ended_ = true;
     Term_->Commits_.stop();
-    for (const auto &[Life, Row] : Term_->Workers_)
+    for (const auto &[Incarnation, Row] : Term_->Workers_)
       Row->wake();
     Term_ = nullptr;
     Sessions_ = nullptr;
@@ -275,7 +275,7 @@
             "a worker refused the fencing token: a later leader exists");
         continue;
       }
-      for (const auto &[Life, Row] : T->Workers_)
+      for (const auto &[Incarnation, Row] : T->Workers_)
         Row->Distrust_ *= DistrustDecay;
       T->Table_.forgetEnded(now() - Bounds_.StatusRetention_);
       loseRunsOnUnknownWorkers(*T);
@@ -289,25 +289,27 @@
     if (!Sessions_)
       return;
     std::vector<WorkerIncarnation> Lost;
-    for (const auto &[Life, Use] : T.Table_.workers())
-      if (!T.Workers_.contains(Life) && now() > lapsedAfter(T, Life))
-        Lost.push_back(Life);
-    for (const WorkerIncarnation &Life : Lost)
-      Sessions_->loseRuns(Life, "worker not listed and its lease has expired");
+    for (const auto &[Incarnation, Use] : T.Table_.workers())
+      if (!T.Workers_.contains(Incarnation) &&
+          now() > lapsedAfter(T, Incarnation))
+        Lost.push_back(Incarnation);
+    for (const WorkerIncarnation &Incarnation : Lost)
+      Sessions_->loseRuns(Incarnation,
+                          "worker not listed and its lease has expired");
   }
 
-  /// Returns the time after which no run can be active on a life that is not in
-  /// the worker table. A restarted process settles the runs of its former life
-  /// itself; if it is never listed, an order that is executed late may still
-  /// reach it.
+  /// Returns the time after which no run can be active on an incarnation that
+  /// is not in the worker table. A restarted process settles the runs of its
+  /// former incarnation itself; if it is never listed, an order that is
+  /// executed late may still reach it.
   static TimePoint lapsedAfter(const Term<Store> &T,
-                               const WorkerIncarnation &Life) {
-    const auto Newer = T.Workers_.upper_bound(Life);
-    if (Newer != T.Workers_.end() && Newer->first.Id_ == Life.Id_)
+                               const WorkerIncarnation &Incarnation) {
+    const auto Newer = T.Workers_.upper_bound(Incarnation);
+    if (Newer != T.Workers_.end() && Newer->first.Id_ == Incarnation.Id_)
       return TimePoint::max();
-    const auto Ended = T.EndedLives_.find(Life);
+    const auto Ended = T.EndedIncarnations_.find(Incarnation);
     const TimePoint LastOrder =
-        Ended == T.EndedLives_.end()
+        Ended == T.EndedIncarnations_.end()
             ? T.StartedAt_
             : std::max(T.StartedAt_, Ended->second + MaxOrderDelay);
     return inheritedLeaseExpiry(LastOrder, T.Bounds_.MaxLease_);
@@ -319,11 +321,11 @@
     if (!T.maySendOrders())
       return;
     std::vector<scheduling::Candidate> Workers;
-    for (const auto &[Life, Row] : T.Workers_) {
+    for (const auto &[Incarnation, Row] : T.Workers_) {
       if (!Row->acceptsTasks() ||
-          (Machines_ && Machines_->heldBack(Row->Record_)))
+          (Machines_ && Machines_->isUnschedulable(Row->Record_)))
         continue;
-      const jobs::WorkerUsage *Use = T.Table_.usageOf(Life);
+      const jobs::WorkerUsage *Use = T.Table_.usageOf(Incarnation);
       Workers.push_back(
           {&Row->Record_,
            Use ? Row->Record_.Capacity_ - Use->Used_ : Row->Record_.Capacity_,
--- a/src/cell/celltypes.h
+++ b/src/cell/celltypes.h
@@ -82,7 +82,7 @@
   Malformed,
   /// The worker is unhealthy and did nothing.
   Unhealthy,
-  /// The process at the worker's address is another life of the worker.
+  /// The process at the worker's address is another incarnation of the worker.
   OtherLife,
   /// No reply: the order may have been executed, or may still be executed
   /// later.
--- a/src/cell/internal/machinetable.cpp
+++ b/src/cell/internal/machinetable.cpp
@@ -15,7 +15,7 @@
     applyOrderBlock(View);
     if (Item.Capacity_ == Resources())
       View.Record_.Capacity_ = Room;
-    Homes_.try_emplace(Item.Id_, Item.Pool_);
+    HomePools_.try_emplace(Item.Id_, Item.Pool_);
     const auto Found = Orders_.find(Item.Id_);
     if (Found != Orders_.end() && Found->second.Acknowledged_ &&
         Item.State_ == MachineState::Up &&
@@ -30,11 +30,11 @@
 void MachineTable::recordWorker(const WorkerRecord &Record, TimePoint Now) {
   if (Record.Machine_.empty())
     return;
-  const auto Known = CurrentLives_.find(Record.Machine_);
-  if (Known != CurrentLives_.end() &&
+  const auto Known = CurrentIncarnations_.find(Record.Machine_);
+  if (Known != CurrentIncarnations_.end() &&
       Known->second.StartedMs_ >= Record.Incarnation_.StartedMs_)
     return;
-  CurrentLives_[Record.Machine_] = Record.Incarnation_;
+  CurrentIncarnations_[Record.Machine_] = Record.Incarnation_;
   capacity::MachineView &View = Views_[Record.Machine_];
   View.Record_.Id_ = Record.Machine_;
   View.Record_.Pool_ = Record.Pool_;
@@ -43,17 +43,17 @@
   View.Record_.Worker_ = Record.Incarnation_.Id_;
   View.IdleSince_ = Now;
   applyOrderBlock(View);
-  Homes_.try_emplace(Record.Machine_, Record.Pool_);
-  settleOrderByLife(Record, Now);
+  HomePools_.try_emplace(Record.Machine_, Record.Pool_);
+  settleOrderByIncarnation(Record, Now);
 }
 
-void MachineTable::settleOrderByLife(const WorkerRecord &Record,
-                                     TimePoint Now) {
+void MachineTable::settleOrderByIncarnation(const WorkerRecord &Record,
+                                            TimePoint Now) {
   const auto Found = Orders_.find(Record.Machine_);
   if (Found == Orders_.end())
     return;
-  if (Now < Found->second.NewLifeFrom_)
-    Found->second.Life_ = Record.Incarnation_;
+  if (Now < Found->second.NewIncarnationFrom_)
+    Found->second.Incarnation_ = Record.Incarnation_;
   else
     Orders_.erase(Found);
 }
@@ -66,13 +66,13 @@
 
 void MachineTable::orderSent(const MachineId &Machine, Duration Takes,
                              TimePoint Now) {
-  Orders_[Machine] = {Now, Now + Takes, false, lifeOn(Machine)};
+  Orders_[Machine] = {Now, Now + Takes, false, incarnationOn(Machine)};
 }
 
 void MachineTable::orderAcknowledged(const MachineId &Machine, TimePoint Now) {
   // A newer worker may have settled the order before the acknowledgement
-  // arrived. The entry recreated here names no life, since the newer one is not
-  // the life that the order ends.
+  // arrived. The entry recreated here names no incarnation, since the newer one
+  // is not the incarnation that the order ends.
   Order &Known = Orders_[Machine];
   Known.At_ = Now;
   Known.Acknowledged_ = true;
@@ -86,21 +86,21 @@
 }
 
 std::optional<WorkerIncarnation>
-MachineTable::lifeEndedByOrder(const MachineId &Machine) const {
+MachineTable::incarnationEndedByOrder(const MachineId &Machine) const {
   const auto Found = Orders_.find(Machine);
-  return Found == Orders_.end() ? std::nullopt : Found->second.Life_;
+  return Found == Orders_.end() ? std::nullopt : Found->second.Incarnation_;
 }
 
 std::set<WorkerIncarnation>
-MachineTable::livesEndedByOrders(TimePoint Before) const {
-  std::set<WorkerIncarnation> Lives;
+MachineTable::incarnationsEndedByOrders(TimePoint Before) const {
+  std::set<WorkerIncarnation> Incarnations;
   for (const auto &[Machine, Item] : Orders_)
-    if (Item.Acknowledged_ && Item.At_ < Before && Item.Life_)
-      Lives.insert(*Item.Life_);
-  return Lives;
+    if (Item.Acknowledged_ && Item.At_ < Before && Item.Incarnation_)
+      Incarnations.insert(*Item.Incarnation_);
+  return Incarnations;
 }
 
-bool MachineTable::heldBack(const MachineId &Machine) const {
+bool MachineTable::isUnschedulable(const MachineId &Machine) const {
   if (busy(Machine))
     return true;
   const auto Found = Views_.find(Machine);
@@ -128,10 +128,10 @@
 }
 
 std::optional<WorkerIncarnation>
-MachineTable::lifeOn(const MachineId &Machine) const {
-  const auto Found = CurrentLives_.find(Machine);
-  return Found == CurrentLives_.end() ? std::nullopt
-                                      : std::optional(Found->second);
+MachineTable::incarnationOn(const MachineId &Machine) const {
+  const auto Found = CurrentIncarnations_.find(Machine);
+  return Found == CurrentIncarnations_.end() ? std::nullopt
+                                             : std::optional(Found->second);
 }
 
 } // namespace laburnumspread::cell
--- a/src/cell/internal/pooldemand.cpp
+++ b/src/cell/internal/pooldemand.cpp
@@ -36,8 +36,8 @@
           std::max(A.Accelerators_, B.Accelerators_)};
 }
 
-void addStanding(const jobs::StepRow &Row, const jobs::StepSpec &Spec,
-                 TimePoint Now, capacity::PoolDemand &Into) {
+void addLongRunning(const jobs::StepRow &Row, const jobs::StepSpec &Spec,
+                    TimePoint Now, capacity::PoolDemand &Into) {
   Into.LongRunning_ += openResources(Row, Spec);
   if (hasWaitingTask(Row, Now))
     Into.WaitingLongRunning_ =
@@ -53,7 +53,7 @@
       if (Spec.Filler_ || !isReady(Occurrence, Spec))
         continue;
       if (Spec.LongRunning_)
-        addStanding(Row, Spec, Now, Into);
+        addLongRunning(Row, Spec, Now, Into);
       else if (!Late)
         Into.FeasibleFinite_ += openResources(Row, Spec);
     }
--- a/src/cell/internal/runtracker.cpp
+++ b/src/cell/internal/runtracker.cpp
@@ -23,8 +23,9 @@
 void RunTracker::startSent(const RunName &Run, std::int64_t DeadlineMs) {
   StartState &Sent = Starts_[Run];
   Sent.DeadlineMs_ = DeadlineMs;
-  // This attempt may reach a later life that has not executed a stop yet.
-  Sent.StoppedByLaterLifeAt_.reset();
+  // This attempt may reach a later incarnation that has not executed a stop
+  // yet.
+  Sent.StoppedByLaterIncarnationAt_.reset();
   ++Sent.Unanswered_;
 }
 
@@ -63,10 +64,11 @@
   Known.StoppedAt_ = Now;
 }
 
-void RunTracker::stopAnsweredByLaterLife(const RunName &Run, TimePoint Now) {
+void RunTracker::stopAnsweredByLaterIncarnation(const RunName &Run,
+                                                TimePoint Now) {
   if (!Table_.findLive(Run))
     return;
-  setIfEmpty(Starts_[Run].StoppedByLaterLifeAt_, Now);
+  setIfEmpty(Starts_[Run].StoppedByLaterIncarnationAt_, Now);
 }
 
 std::vector<RunName> RunTracker::unwanted(const WorkerIncarnation &Worker,
@@ -128,7 +130,7 @@
     if (!Item.Saved_.empty())
       Table_.findTask(Item.Run_.Task_)->Saved_ = Item.Saved_;
   }
-  settleFormerLives(Worker, Listed, SentAt, Result);
+  settleFormerIncarnations(Worker, Listed, SentAt, Result);
   const jobs::WorkerUsage *Use = Table_.usageOf(Worker);
   if (!Use)
     return Result;
@@ -138,30 +140,32 @@
   return Result;
 }
 
-void RunTracker::settleFormerLives(const WorkerIncarnation &Worker,
-                                   const std::set<RunName> &Listed,
-                                   TimePoint SentAt, Report &Into) const {
+void RunTracker::settleFormerIncarnations(const WorkerIncarnation &Worker,
+                                          const std::set<RunName> &Listed,
+                                          TimePoint SentAt,
+                                          Report &Into) const {
   const auto &All = Table_.workers();
-  for (auto Life = All.lower_bound(WorkerIncarnation{Worker.Id_, 0});
-       Life != All.end() && Life->first < Worker; ++Life)
-    for (const RunName &Run : Life->second.Runs_) {
+  for (auto Incarnation = All.lower_bound(WorkerIncarnation{Worker.Id_, 0});
+       Incarnation != All.end() && Incarnation->first < Worker; ++Incarnation)
+    for (const RunName &Run : Incarnation->second.Runs_) {
       if (Listed.contains(Run))
         continue;
-      if (cannotStartOnLaterLife(Run, SentAt))
+      if (cannotStartOnLaterIncarnation(Run, SentAt))
         Into.Ended_.push_back({Run, EndKind::Lost, Checkpoint(),
-                               "the life of its worker has ended"});
+                               "the incarnation of its worker has ended"});
       else
         Into.StaleStarts_.push_back(Run);
     }
 }
 
-bool RunTracker::cannotStartOnLaterLife(const RunName &Run,
-                                        TimePoint SentAt) const {
+bool RunTracker::cannotStartOnLaterIncarnation(const RunName &Run,
+                                               TimePoint SentAt) const {
   const auto Known = Starts_.find(Run);
   if (Known == Starts_.end())
     return !Staged_.contains(Run);
   const StartState &Sent = Known->second;
-  if (Sent.StoppedByLaterLifeAt_ && *Sent.StoppedByLaterLifeAt_ < SentAt)
+  if (Sent.StoppedByLaterIncarnationAt_ &&
+      *Sent.StoppedByLaterIncarnationAt_ < SentAt)
     return true;
   return Sent.SettledAt_ && *Sent.SettledAt_ < SentAt && Sent.Unanswered_ == 0;
 }
--- a/src/cell/leaderelector.h
+++ b/src/cell/leaderelector.h
@@ -95,9 +95,9 @@
 
   /// Ends the leadership, if there is one.
   void endLeadership(std::string_view Reason) {
-    if (!ActiveReign_)
+    if (!ActiveTerm_)
       return;
-    ActiveReign_.reset();
+    ActiveTerm_.reset();
     Events_.OnEnded_(Reason);
     if (!Leaving_)
       Leadership_.markLost();
@@ -309,10 +309,10 @@
   void reclaimLeadership() {
     if (std::exchange(Reclaiming_, true))
       return;
-    const auto Before = ActiveReign_;
+    const auto Before = ActiveTerm_;
     const auto Written = Leadership_.rewriteHead();
     Reclaiming_ = false;
-    if (!ActiveReign_ || ActiveReign_ != Before || !Written.ok())
+    if (!ActiveTerm_ || ActiveTerm_ != Before || !Written.ok())
       return;
     if (!*Written)
       return endLeadership("a peer accepted the offered leadership");
@@ -354,11 +354,11 @@
   /// from the watch and from the reply to the write. Two terms in parallel
   /// would each treat the other's runs as unknown and stop them.
   void beginLeadership() {
-    if (ActiveReign_ && Leadership_.holds(*ActiveReign_))
+    if (ActiveTerm_ && Leadership_.holds(*ActiveTerm_))
       return;
-    if (ActiveReign_)
+    if (ActiveTerm_)
       Events_.OnEnded_("lost; a new leadership has started");
-    ActiveReign_ = Leadership_.term();
+    ActiveTerm_ = Leadership_.term();
     Offered_ = false;
     Events_.OnStarted_();
   }
@@ -370,7 +370,7 @@
   journal::Leadership<Store> Leadership_;
   journal::Leader SeenLeader_;
   /// The leadership for which OnStarted_ was called, and OnEnded_ was not.
-  std::optional<journal::TermNumber> ActiveReign_;
+  std::optional<journal::TermNumber> ActiveTerm_;
   OfferFn SendOffer_;
   /// Whether the peers have been told that they may lead.
   bool Offered_ = false;
--- a/src/cell/machinemanager.h
+++ b/src/cell/machinemanager.h
@@ -52,7 +52,7 @@
   /// planning loops.
   void start() {
     for (const auto &[Machine, Order] : Term_->Table_.machineOrders()) {
-      Table_->setHome(Machine, Order.HomePool_);
+      Table_->setHomePool(Machine, Order.HomePool_);
       Table_->blockOrdersUntil(Machine, Term_->StartedAt_ +
                                             Term_->Bounds_.MachineOrderLease_ -
                                             Order.SinceLastOrder_);
@@ -87,8 +87,8 @@
   }
 
   /// Whether the worker receives no tasks because of an order for its machine.
-  bool heldBack(const WorkerRecord &Record) const {
-    return Table_->heldBack(Record.Machine_);
+  bool isUnschedulable(const WorkerRecord &Record) const {
+    return Table_->isUnschedulable(Record.Machine_);
   }
 
 private:
@@ -132,12 +132,12 @@
   bool awaitsListChange() const {
     if (Table_->anyBusy())
       return true;
-    for (const auto &[Life, Use] : Term_->Table_.workers())
-      if (!Term_->Workers_.contains(Life))
+    for (const auto &[Incarnation, Use] : Term_->Table_.workers())
+      if (!Term_->Workers_.contains(Incarnation))
         return true;
-    for (const auto &[Life, Row] : Term_->Workers_)
+    for (const auto &[Incarnation, Row] : Term_->Workers_)
       if ((Row->Unanswered_ > 0 || !Row->Listed_) &&
-          Term_->Table_.usageOf(Life) != nullptr)
+          Term_->Table_.usageOf(Incarnation) != nullptr)
         return true;
     for (const auto &[Number, Wave] : Waves_)
       if (!Wave.DoneReported_)
@@ -148,17 +148,17 @@
   void updateFromList(const std::vector<MachineRecord> &List, TimePoint Asked) {
     const TimePoint ListOf = Asked - MaxListLag;
     const std::set<WorkerIncarnation> EndedByOrder =
-        Table_->livesEndedByOrders(ListOf);
+        Table_->incarnationsEndedByOrders(ListOf);
     Table_->updateFromList(List, Asked);
     std::vector<WorkerRowPtr> Gone;
-    for (const auto &[Life, Row] : Term_->Workers_) {
+    for (const auto &[Incarnation, Row] : Term_->Workers_) {
       const bool Silent = Row->silentSince(ListOf);
-      if (!Row->Ended_ && (Silent || EndedByOrder.contains(Life)) &&
+      if (!Row->Ended_ && (Silent || EndedByOrder.contains(Incarnation)) &&
           Table_->showsWorkerGone(Row->Record_))
         Gone.push_back(Row);
     }
     for (const WorkerRowPtr &Row : Gone)
-      Sessions_->endLife(
+      Sessions_->endIncarnation(
           *Row, "the machine list shows its machine as down or gone", false);
     loseRunsOnUnlistedWorkers(ListOf);
   }
@@ -166,24 +166,25 @@
   /// Ends runs on workers that have no session and that no listed machine runs.
   void loseRunsOnUnlistedWorkers(TimePoint ListOf) {
     std::vector<WorkerIncarnation> Lost;
-    for (const auto &[Life, Use] : Term_->Table_.workers()) {
-      const auto Ended = Term_->EndedLives_.find(Life);
-      const TimePoint Since =
-          Ended == Term_->EndedLives_.end() ? Term_->StartedAt_ : Ended->second;
-      if (!Term_->Workers_.contains(Life) && Since < ListOf &&
-          !Table_->listsWorker(Life.Id_))
-        Lost.push_back(Life);
+    for (const auto &[Incarnation, Use] : Term_->Table_.workers()) {
+      const auto Ended = Term_->EndedIncarnations_.find(Incarnation);
+      const TimePoint Since = Ended == Term_->EndedIncarnations_.end()
+                                  ? Term_->StartedAt_
+                                  : Ended->second;
+      if (!Term_->Workers_.contains(Incarnation) && Since < ListOf &&
+          !Table_->listsWorker(Incarnation.Id_))
+        Lost.push_back(Incarnation);
     }
-    for (const WorkerIncarnation &Life : Lost)
-      Sessions_->loseRuns(Life, "no listed machine runs its worker");
+    for (const WorkerIncarnation &Incarnation : Lost)
+      Sessions_->loseRuns(Incarnation, "no listed machine runs its worker");
   }
 
   /// Moves long-running tasks off draining workers at once; finite tasks keep
   /// the time that is left.
   void evacuateDraining() {
     std::vector<jobs::RunName> Leaving;
-    for (const auto &[Life, Row] : Term_->Workers_) {
-      const jobs::WorkerUsage *Use = Term_->Table_.usageOf(Life);
+    for (const auto &[Incarnation, Row] : Term_->Workers_) {
+      const jobs::WorkerUsage *Use = Term_->Table_.usageOf(Incarnation);
       if (!Row->Record_.Draining_ || Row->Ended_ || !Use)
         continue;
       for (const jobs::RunName &Run : Use->Runs_) {
@@ -223,13 +224,13 @@
       View.FiniteRuns_ = 0;
       View.LongRunningRuns_.clear();
     }
-    for (const auto &[Life, Row] : Term_->Workers_) {
+    for (const auto &[Incarnation, Row] : Term_->Workers_) {
       const auto Found = Table_->views().find(Row->Record_.Machine_);
       if (Found == Table_->views().end() || Row->Ended_)
         continue;
       capacity::MachineView &View = Found->second;
       View.Usable_ = View.Usable_ || Row->acceptsTasks();
-      const jobs::WorkerUsage *Use = Term_->Table_.usageOf(Life);
+      const jobs::WorkerUsage *Use = Term_->Table_.usageOf(Incarnation);
       if (!Use)
         continue;
       View.IdleSince_ = now();
@@ -330,7 +331,7 @@
         Table_->views(),
         computePoolDemand(Term_->Table_, Term_->Config_, Term_->Estimates_,
                           now()),
-        Table_->homes(), standbyPools(), now());
+        Table_->homePools(), standbyPools(), now());
     for (const capacity::MoveOrder &Order : Orders)
       Orders_->move(Order);
   }
--- a/src/cell/machineorders.h
+++ b/src/cell/machineorders.h
@@ -54,8 +54,8 @@
   /// Moves a machine to another pool, unless its worker has received a task
   /// since the move was planned.
   void move(const capacity::MoveOrder &Order) {
-    const auto Life = Table_->lifeOn(Order.Machine_);
-    if (Life && Term_->Table_.usageOf(*Life))
+    const auto Incarnation = Table_->incarnationOn(Order.Machine_);
+    if (Incarnation && Term_->Table_.usageOf(*Incarnation))
       return;
     Table_->orderSent(Order.Machine_, Term_->Bounds_.MoveDuration_, now());
     framework::fibers::spawn([Self = this->shared_from_this(), Order] {
@@ -101,15 +101,16 @@
   }
 
   /// Whether the machine's order may still be sent. Without this check, a new
-  /// life could settle the order and receive tasks, and repeating an order that
-  /// was not executed before would then kill them. No task starts on the life
-  /// that the order ends while the order is open, and a machine that still
-  /// needs the order is planned again, so dropping it is safe.
+  /// incarnation could settle the order and receive tasks, and repeating an
+  /// order that was not executed before would then kill them. No task starts on
+  /// the incarnation that the order ends while the order is open, and a machine
+  /// that still needs the order is planned again, so dropping it is safe.
   bool orderStillApplies(const MachineId &Machine) const {
-    const std::optional<WorkerIncarnation> Life =
-        Table_->lifeEndedByOrder(Machine);
-    return Table_->busy(Machine) && Table_->lifeOn(Machine) == Life &&
-           !(Life && Term_->Table_.usageOf(*Life));
+    const std::optional<WorkerIncarnation> Incarnation =
+        Table_->incarnationEndedByOrder(Machine);
+    return Table_->busy(Machine) &&
+           Table_->incarnationOn(Machine) == Incarnation &&
+           !(Incarnation && Term_->Table_.usageOf(*Incarnation));
   }
 
   void countOrder(std::string_view Result) {
@@ -159,10 +160,10 @@
   /// and tasks sent to it meanwhile would be lost. If the order had already
   /// been executed earlier, the worker is alive, replies and is used again.
   void suspectWorker(const MachineId &Machine) {
-    const auto Life = Table_->lifeEndedByOrder(Machine);
-    if (!Life)
+    const auto Incarnation = Table_->incarnationEndedByOrder(Machine);
+    if (!Incarnation)
       return;
-    const auto Row = Term_->Workers_.find(*Life);
+    const auto Row = Term_->Workers_.find(*Incarnation);
     if (Row != Term_->Workers_.end())
       Row->second->suspect();
   }
--- a/src/cell/machinetable.h
+++ b/src/cell/machinetable.h
@@ -27,25 +27,25 @@
   /// Updates the views from the platform's list.
   void updateFromList(const std::vector<MachineRecord> &List, TimePoint Now);
 
-  /// Records a worker's entry in the platform's list. Ignored unless its life
-  /// is newer than the last one seen on its machine.
+  /// Records a worker's entry in the platform's list. Ignored unless its
+  /// incarnation is newer than the last one seen on its machine.
   void recordWorker(const WorkerRecord &Record, TimePoint Now);
 
   /// Records that an order is being sent that takes at least \p Takes. The
   /// machine is busy until the order is settled.
   void orderSent(const MachineId &Machine, Duration Takes, TimePoint Now);
   /// Records that the platform acknowledged the order. It also acknowledges an
-  /// order that it had executed before, which then ends no life.
+  /// order that it had executed before, which then ends no incarnation.
   void orderAcknowledged(const MachineId &Machine, TimePoint Now);
-  /// Returns the life that the open order ends, if it has been seen: the one on
-  /// the machine when the order was sent, or an earlier one that was seen only
-  /// later.
+  /// Returns the incarnation that the open order ends, if it has been seen: the
+  /// one on the machine when the order was sent, or an earlier one that was
+  /// seen only later.
   std::optional<WorkerIncarnation>
-  lifeEndedByOrder(const MachineId &Machine) const;
-  /// Returns the lives whose machines were ordered away, with an
+  incarnationEndedByOrder(const MachineId &Machine) const;
+  /// Returns the incarnations whose machines were ordered away, with an
   /// acknowledgement before \p Before. Each has ended if a newer list shows it
   /// as gone.
-  std::set<WorkerIncarnation> livesEndedByOrders(TimePoint Before) const;
+  std::set<WorkerIncarnation> incarnationsEndedByOrders(TimePoint Before) const;
   /// Records that the platform refused the order and did nothing. The machine
   /// is not moved for PauseAfterRefusal: the next order would be refused too,
   /// and each order is billed.
@@ -57,8 +57,8 @@
   }
   bool anyBusy() const { return !Orders_.empty(); }
   /// Sets the home pool of the machine, as recorded by an earlier leader.
-  void setHome(const MachineId &Machine, const PoolName &Home) {
-    Homes_[Machine] = Home;
+  void setHomePool(const MachineId &Machine, const PoolName &HomePool) {
+    HomePools_[Machine] = HomePool;
   }
   /// Blocks orders for the machine until \p Until.
   void blockOrdersUntil(const MachineId &Machine, TimePoint Until) {
@@ -67,7 +67,7 @@
 
   /// Whether the worker on the machine receives no tasks, because an order is
   /// open or an upkeep is planned.
-  bool heldBack(const MachineId &Machine) const;
+  bool isUnschedulable(const MachineId &Machine) const;
 
   /// Whether the platform's list shows that a worker's process is gone: its
   /// machine is not listed, is not up, or runs another worker. Used only for
@@ -79,32 +79,34 @@
   bool listsWorker(const WorkerId &Worker) const;
 
   /// Returns the current worker on the machine, if one has been seen.
-  std::optional<WorkerIncarnation> lifeOn(const MachineId &Machine) const;
+  std::optional<WorkerIncarnation>
+  incarnationOn(const MachineId &Machine) const;
 
   Views &views() { return Views_; }
-  const std::map<MachineId, PoolName> &homes() const { return Homes_; }
+  const std::map<MachineId, PoolName> &homePools() const { return HomePools_; }
   bool listSeen() const { return ListSeen_; }
 
 private:
   struct Order {
     /// When the order was first sent, or when it was acknowledged.
     TimePoint At_{};
-    /// A life seen before this time cannot have been started by the order.
-    TimePoint NewLifeFrom_{};
+    /// An incarnation seen before this time cannot have been started by the
+    /// order.
+    TimePoint NewIncarnationFrom_{};
     bool Acknowledged_ = false;
-    std::optional<WorkerIncarnation> Life_;
+    std::optional<WorkerIncarnation> Incarnation_;
   };
 
-  /// Handles a new life on the machine: either it settles the order, or it is
-  /// the life that the order will end.
-  void settleOrderByLife(const WorkerRecord &Record, TimePoint Now);
+  /// Handles a new incarnation on the machine: either it settles the order, or
+  /// it is the incarnation that the order will end.
+  void settleOrderByIncarnation(const WorkerRecord &Record, TimePoint Now);
 
   void applyOrderBlock(capacity::MachineView &View) const;
 
   Duration MinOrderDuration_;
   Views Views_;
-  std::map<MachineId, WorkerIncarnation> CurrentLives_;
-  std::map<MachineId, PoolName> Homes_;
+  std::map<MachineId, WorkerIncarnation> CurrentIncarnations_;
+  std::map<MachineId, PoolName> HomePools_;
   std::map<MachineId, Order> Orders_;
   std::map<MachineId, TimePoint> OrdersBlockedUntil_;
   bool ListSeen_ = false;
--- a/src/cell/runstopper.h
+++ b/src/cell/runstopper.h
@@ -107,10 +107,11 @@
         .field("result", nameOf(Reply.Result_));
     if (Reply.Result_ == OrderResult::Done)
       Tracker_->stopAnswered(Run, now());
-    // A start in transit to the former life may still be executed by the new
-    // one, whose reports settle it.
+    // A start in transit to the former incarnation may still be executed by the
+    // new one, whose reports settle it.
     if (Reply.Result_ == OrderResult::OtherLife)
-      Term_->markLifeEnded(*Row, "another life of the worker replied");
+      Term_->markIncarnationEnded(*Row,
+                                  "another incarnation of the worker replied");
     return Reply.Result_ == OrderResult::Done ||
            Reply.Result_ == OrderResult::OtherLife;
   }
@@ -149,18 +150,20 @@
     });
   }
 
-  /// Stops a run of a former life on the life that may have executed its start.
+  /// Stops a run of a former incarnation on the incarnation that may have
+  /// executed its start.
   void stopStaleStart(const WorkerRow &Row, const jobs::RunName &Run) {
-    framework::fibers::spawn([Self = this->shared_from_this(),
-                              Record = Row.Record_, Run] {
-      if (Self->sendUntrackedStop(
-              Record, Run, "its start was sent to a former life of the worker"))
-        Self->Tracker_->stopAnsweredByLaterLife(Run, now());
-    });
+    framework::fibers::spawn(
+        [Self = this->shared_from_this(), Record = Row.Record_, Run] {
+          if (Self->sendUntrackedStop(
+                  Record, Run,
+                  "its start was sent to a former incarnation of the worker"))
+            Self->Tracker_->stopAnsweredByLaterIncarnation(Run, now());
+        });
   }
 
-  /// Sends one stop for a run that the tables do not show on this life. Returns
-  /// true if it was executed.
+  /// Sends one stop for a run that the tables do not show on this incarnation.
+  /// Returns true if it was executed.
   bool sendUntrackedStop(const WorkerRecord &Record, const jobs::RunName &Run,
                          std::string_view Reason) {
     const OrderReply Reply =
--- a/src/cell/runtracker.h
+++ b/src/cell/runtracker.h
@@ -25,10 +25,10 @@
 ///  - the worker refuses the first and only attempt to start it.
 ///
 /// A restarted worker process may keep its id and execute a start that was sent
-/// to its former life. Its clock starts anew, so the deadline does not prevent
-/// that. A run of a former life has ended only when the new life does not
-/// report it and either no attempt is unanswered or the new life has executed a
-/// stop for it.
+/// to its former incarnation. Its clock starts anew, so the deadline does not
+/// prevent that. A run of a former incarnation has ended only when the new
+/// incarnation does not report it and either no attempt is unanswered or the
+/// new incarnation has executed a stop for it.
 class RunTracker {
 public:
   /// A run that has ended, and the reason for the log.
@@ -45,8 +45,8 @@
     /// Runs that the journal does not show as live on this worker: orders of an
     /// earlier time that were executed late.
     std::vector<jobs::RunName> Unknown_;
-    /// Runs of former lives that may still start on this one and have to be
-    /// stopped here.
+    /// Runs of former incarnations that may still start on this one and have to
+    /// be stopped here.
     std::vector<jobs::RunName> StaleStarts_;
   };
 
@@ -72,9 +72,9 @@
   /// Records that a stop was executed: the run can no longer be reported as
   /// running.
   void stopAnswered(const jobs::RunName &Run, TimePoint Now);
-  /// The same for a stop executed by a later life of the worker that the run
-  /// was sent to.
-  void stopAnsweredByLaterLife(const jobs::RunName &Run, TimePoint Now);
+  /// The same for a stop executed by a later incarnation of the worker that the
+  /// run was sent to.
+  void stopAnsweredByLaterIncarnation(const jobs::RunName &Run, TimePoint Now);
   /// Returns the live runs on \p Worker that should be gone because their job
   /// has ended or a stop was ordered. The result depends on the tables alone,
   /// so a lost stop, or one left to the next leader, is found again by calling
@@ -85,7 +85,7 @@
                                       TimePoint AsOf) const;
   /// Whether a stop of the run has been answered.
   bool stopped(const jobs::RunName &Run) const;
-  /// Whether a run of an earlier life than \p Worker may still start.
+  /// Whether a run of an earlier incarnation than \p Worker may still start.
   bool mayRunStaleStarts(const WorkerIncarnation &Worker) const;
 
   /// Processes the report that answers a hold sent at \p SentAt, and updates
@@ -107,16 +107,17 @@
     std::uint32_t Unanswered_ = 0;
     /// When the last stop was answered.
     std::optional<TimePoint> StoppedAt_;
-    /// When a later life of the worker first executed a stop, since the last
-    /// attempt was sent.
-    std::optional<TimePoint> StoppedByLaterLifeAt_;
+    /// When a later incarnation of the worker first executed a stop, since the
+    /// last attempt was sent.
+    std::optional<TimePoint> StoppedByLaterIncarnationAt_;
   };
 
-  void settleFormerLives(const WorkerIncarnation &Worker,
-                         const std::set<jobs::RunName> &Listed,
-                         TimePoint SentAt, Report &Into) const;
+  void settleFormerIncarnations(const WorkerIncarnation &Worker,
+                                const std::set<jobs::RunName> &Listed,
+                                TimePoint SentAt, Report &Into) const;
   bool stopMayBeInProgress(const jobs::RunName &Run, TimePoint AsOf) const;
-  bool cannotStartOnLaterLife(const jobs::RunName &Run, TimePoint SentAt) const;
+  bool cannotStartOnLaterIncarnation(const jobs::RunName &Run,
+                                     TimePoint SentAt) const;
   bool cannotStart(const jobs::RunName &Run, std::int64_t ClockMs,
                    TimePoint SentAt) const;
 
--- a/src/cell/term.h
+++ b/src/cell/term.h
@@ -16,7 +16,7 @@
   Term(Store &S, const journal::CellKeys &Keys,
        journal::Leadership<Store> &Leadership,
        framework::metrics::Registry &Metrics, CellBounds Bounds)
-      : Leadership_(Leadership), Reign_(Leadership.term()),
+      : Leadership_(Leadership), TermNumber_(Leadership.term()),
         Token_(Leadership.token()), Log_(S, Keys, Leadership),
         Commits_(Table_, Log_, Metrics), Metrics_(Metrics), Bounds_(Bounds),
         StartedAt_(now()) {}
@@ -29,12 +29,12 @@
         .count();
   }
 
-  /// Marks a worker's life as ended: its process exited or was restarted. The
-  /// caller ends the runs that it had.
-  void markLifeEnded(WorkerRow &Row, std::string_view Reason) {
+  /// Marks a worker's incarnation as ended: its process exited or was
+  /// restarted. The caller ends the runs that it had.
+  void markIncarnationEnded(WorkerRow &Row, std::string_view Reason) {
     if (std::exchange(Row.Ended_, true))
       return;
-    EndedLives_.emplace(Row.Record_.Incarnation_, now());
+    EndedIncarnations_.emplace(Row.Record_.Incarnation_, now());
     framework::log::info("worker.over")
         .field("worker", Row.Record_.Incarnation_.Id_.str())
         .field("born_ms", Row.Record_.Incarnation_.StartedMs_)
@@ -43,7 +43,7 @@
   }
 
   /// Whether the leadership has ended; fibers of the term then stop.
-  bool ended() const { return Ended_ || !Leadership_.holds(Reign_); }
+  bool ended() const { return Ended_ || !Leadership_.holds(TermNumber_); }
 
   /// Whether orders may be sent to workers: the term is not over, and the store
   /// confirmed the leadership recently enough.
@@ -65,10 +65,10 @@
     Result.JobsKnown_ = Table_.jobs().size();
     Result.Workers_ = Workers_.size();
     Result.StoreStalled_ = Commits_.stalled();
-    for (const auto &[Life, Use] : Table_.workers())
+    for (const auto &[Incarnation, Use] : Table_.workers())
       for (const jobs::RunName &Run : Use.Runs_)
         countRun(Run, Result);
-    for (const auto &[Life, Row] : Workers_)
+    for (const auto &[Incarnation, Row] : Workers_)
       Result.WorkersSilent_ += Row->Unanswered_ > 0;
     return Result;
   }
@@ -85,7 +85,7 @@
   }
 
   journal::Leadership<Store> &Leadership_;
-  journal::TermNumber Reign_;
+  journal::TermNumber TermNumber_;
   /// Increases when this entry rewrites the head key during the same
   /// leadership.
   jobs::FencingToken Token_;
@@ -93,9 +93,9 @@
   journal::Journal<Store> Log_;
   CommitQueue<Store> Commits_;
   WorkerTable Workers_;
-  /// Ended lives and when each ended. The platform's worker list may show them
-  /// for some seconds more.
-  std::map<WorkerIncarnation, TimePoint> EndedLives_;
+  /// Ended incarnations and when each ended. The platform's worker list may
+  /// show them for some seconds more.
+  std::map<WorkerIncarnation, TimePoint> EndedIncarnations_;
   CellConfig Config_;
   scheduling::RunTimeEstimator Estimates_;
   scheduling::AdviceTable Advice_;
--- a/src/cell/tests/machinemanagertest.cpp
+++ b/src/cell/tests/machinemanagertest.cpp
@@ -190,8 +190,8 @@
 
 // Guards against a worker that gets no tasks after an upkeep. The
 // acknowledgement arrived when the machine was back and its new worker had a
-// task, and was taken to end the life on the machine at that time. The test
-// waits for three more lists, which would end the worker.
+// task, and was taken to end the incarnation on the machine at that time. The
+// test waits for three more lists, which would end the worker.
 BOOST_AUTO_TEST_CASE(LateAcknowledgementDoesNotEndTheNewWorker) {
   Api_.LostUpkeep_ = false;
   Api_.BeforeUpkeep_ = [&] {
--- a/src/cell/tests/machinetabletest.cpp
+++ b/src/cell/tests/machinetabletest.cpp
@@ -11,9 +11,9 @@
 const TimePoint Start(std::chrono::hours(1));
 const MachineId Machine("m1");
 
-WorkerRecord worker(std::int64_t BornMs) {
+WorkerRecord worker(std::int64_t StartedMs) {
   WorkerRecord Record;
-  Record.Incarnation_ = {WorkerId("w" + std::to_string(BornMs)), BornMs};
+  Record.Incarnation_ = {WorkerId("w" + std::to_string(StartedMs)), StartedMs};
   Record.Machine_ = Machine;
   Record.Pool_ = PoolName("pool");
   return Record;
@@ -57,14 +57,15 @@
 // watches receive nothing, a machine is moved and then ordered into upkeep
 // based on the platform's list. The entry of the worker that came up after the
 // move is seen only then, and was taken for the worker after the upkeep.
-BOOST_AUTO_TEST_CASE(LifeFromBeforeTheOrderDoesNotSettleIt) {
+BOOST_AUTO_TEST_CASE(IncarnationFromBeforeTheOrderDoesNotSettleIt) {
   MachineTable Table(2000ms);
   Table.recordWorker(worker(1), Start);
   Table.orderSent(Machine, 2000ms, Start);
   Table.orderAcknowledged(Machine, Start + 10ms);
   Table.recordWorker(worker(2), Start + 300ms);
   BOOST_TEST(Table.busy(Machine));
-  BOOST_TEST((Table.lifeEndedByOrder(Machine) == worker(2).Incarnation_));
+  BOOST_TEST(
+      (Table.incarnationEndedByOrder(Machine) == worker(2).Incarnation_));
   Table.recordWorker(worker(3), Start + 2000ms);
   BOOST_TEST(!Table.busy(Machine));
 }
@@ -97,11 +98,11 @@
 
 // Guards against machines of the standby pool that stay on forever: each new
 // leader took the pool in which it found a machine for its home.
-BOOST_AUTO_TEST_CASE(HomeIsKeptOverTakeovers) {
+BOOST_AUTO_TEST_CASE(HomePoolIsKeptAcrossTakeovers) {
   MachineTable Table(1500ms);
-  Table.setHome(Machine, PoolName("standby"));
+  Table.setHomePool(Machine, PoolName("standby"));
   Table.updateFromList({listed(MachineState::Up)}, Start);
-  BOOST_TEST(Table.homes().at(Machine) == PoolName("standby"));
+  BOOST_TEST(Table.homePools().at(Machine) == PoolName("standby"));
 }
 
 // The list lags behind: a machine shown as up within the minimum duration of
@@ -137,21 +138,22 @@
 }
 
 // The platform also acknowledges an order that it executed before, and one that
-// is repeated when the machine is back. Only the life for which the order was
-// sent may count as ended by it, and only if a newer list shows that.
-BOOST_AUTO_TEST_CASE(OrderEndsOnlyTheLifeThatItWasSentFor) {
+// is repeated when the machine is back. Only the incarnation for which the
+// order was sent may count as ended by it, and only if a newer list shows that.
+BOOST_AUTO_TEST_CASE(OrderEndsOnlyTheIncarnationThatItWasSentFor) {
   MachineTable Table(1500ms);
   Table.recordWorker(worker(1), Start);
   Table.orderSent(Machine, 1500ms, Start);
-  BOOST_TEST(Table.livesEndedByOrders(Start + 2s).empty());
-  BOOST_TEST((Table.lifeEndedByOrder(Machine) == worker(1).Incarnation_));
+  BOOST_TEST(Table.incarnationsEndedByOrders(Start + 2s).empty());
+  BOOST_TEST(
+      (Table.incarnationEndedByOrder(Machine) == worker(1).Incarnation_));
   Table.orderAcknowledged(Machine, Start + 1s);
-  BOOST_TEST(Table.livesEndedByOrders(Start + 1s).empty());
-  BOOST_TEST((Table.livesEndedByOrders(Start + 2s) ==
+  BOOST_TEST(Table.incarnationsEndedByOrders(Start + 1s).empty());
+  BOOST_TEST((Table.incarnationsEndedByOrders(Start + 2s) ==
               std::set{worker(1).Incarnation_}));
   Table.recordWorker(worker(2), Start + 3s);
   Table.orderAcknowledged(Machine, Start + 4s);
-  BOOST_TEST(Table.livesEndedByOrders(Start + 5s).empty());
+  BOOST_TEST(Table.incarnationsEndedByOrders(Start + 5s).empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/cell/tests/modelworker.h
+++ b/src/cell/tests/modelworker.h
@@ -19,7 +19,7 @@
 struct ModelWorker {
   WorkerId Id_;
   std::int64_t StartedMs_ = 1;
-  TimePoint BornAt_{};
+  TimePoint StartedAt_{};
   double Rate_ = 1;
   FencingToken Token_;
   std::int64_t LeaseEndMs_ = 0;
@@ -30,9 +30,9 @@
   std::map<TaskName, RunNumber> Blocked_;
 
   std::int64_t clockMs(TimePoint Now) const {
-    return 1000 +
-           static_cast<std::int64_t>(
-               Rate_ * static_cast<double>((Now - BornAt_).count()) / 1000.0);
+    return 1000 + static_cast<std::int64_t>(
+                      Rate_ * static_cast<double>((Now - StartedAt_).count()) /
+                      1000.0);
   }
 
   /// Takes the run by value because the caller may pass an element of Running_.
@@ -86,7 +86,8 @@
     return {OrderResult::Done, clockMs(Now)};
   }
 
-  HoldReply hold(const HoldOrder &Order, std::int64_t Born, TimePoint Now) {
+  HoldReply hold(const HoldOrder &Order, std::int64_t StartedMs,
+                 TimePoint Now) {
     lapse(Now);
     HoldReply Reply;
     Reply.ClockMs_ = clockMs(Now);
@@ -98,7 +99,7 @@
     if (Order.DeadlineMs_ > 0)
       extend(Order.DeadlineMs_, Now);
     Reply.Result_ =
-        Born == StartedMs_ ? OrderResult::Done : OrderResult::OtherLife;
+        StartedMs == StartedMs_ ? OrderResult::Done : OrderResult::OtherLife;
     std::erase_if(Ends_, [&](const EndReport &Row) {
       return Row.Number_ <= Order.AcknowledgedEnds_;
     });
@@ -112,7 +113,7 @@
     ModelWorker Fresh;
     Fresh.Id_ = Id_;
     Fresh.StartedMs_ = StartedMs_ + 1;
-    Fresh.BornAt_ = Now;
+    Fresh.StartedAt_ = Now;
     Fresh.Rate_ = Rate_;
     *this = Fresh;
   }
--- a/src/cell/tests/pooldemandtest.cpp
+++ b/src/cell/tests/pooldemandtest.cpp
@@ -53,9 +53,9 @@
 BOOST_FIXTURE_TEST_SUITE(PoolDemandTest, Fixture)
 
 BOOST_AUTO_TEST_CASE(LongRunningAndTimelyWorkAreSeparate) {
-  jobs::StepSpec Standing = step(3);
-  Standing.LongRunning_ = true;
-  accept("a", {Standing});
+  jobs::StepSpec LongRunning = step(3);
+  LongRunning.LongRunning_ = true;
+  accept("a", {LongRunning});
   accept("b", {step(2)});
   BOOST_TEST(demand(10min).LongRunning_.MilliCpus_ == 3 * Each);
   BOOST_TEST(demand(10min).FeasibleFinite_.MilliCpus_ == 2 * Each);
@@ -64,10 +64,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(MemoryDemandIsCounted) {
-  jobs::StepSpec Standing = step(3);
-  Standing.LongRunning_ = true;
-  Standing.PerTask_.MemoryMb_ = 4000;
-  accept("a", {Standing});
+  jobs::StepSpec LongRunning = step(3);
+  LongRunning.LongRunning_ = true;
+  LongRunning.PerTask_.MemoryMb_ = 4000;
+  accept("a", {LongRunning});
   BOOST_TEST(demand(0s).LongRunning_.MemoryMb_ == 12000);
 }
 
--- a/src/cell/tests/runmodel.h
+++ b/src/cell/tests/runmodel.h
@@ -61,7 +61,7 @@
   RunTracker Tracker_;
   /// Null for workers that are not known.
   std::array<WorkerRowPtr, WorkerCount> Rows_;
-  std::set<WorkerIncarnation> EndedLives_;
+  std::set<WorkerIncarnation> EndedIncarnations_;
   /// Runs with a stop that was neither answered nor given up.
   std::set<RunName> StopsInFlight_;
   bool Active_ = true;
@@ -79,7 +79,7 @@
     Start,
     Hold,
     Stop,
-    /// Stops a run that was sent to a former life.
+    /// Stops a run that was sent to a former incarnation.
     StopStaleStart,
     /// Stops a run that the journal does not show on the worker.
     StopUnknown,
@@ -88,7 +88,7 @@
   LeaderPtr From_;
   std::size_t To_ = 0;
   WorkerRowPtr Row_;
-  std::int64_t Born_ = 0;
+  std::int64_t StartedMs_ = 0;
   TimePoint SentAt_{};
   StartOrder Start_;
   HoldOrder Hold_;
@@ -188,7 +188,7 @@
       runQuietTick(Tick, Detail);
     RC_ASSERT(runsOfEndedJobs() == 0u);
     const jobs::CellTable &Table = Leaders_.back()->Table_;
-    for (const auto &[Life, Use] : Table.workers())
+    for (const auto &[Incarnation, Use] : Table.workers())
       for (const RunName &Run : Use.Runs_) {
         RC_ASSERT(!Table.find(Run.Task_.Job_)->ended());
         RC_ASSERT(!Table.find(Run)->Stopping_);
@@ -245,24 +245,24 @@
     const int Change = Detail / 6 % 5;
     if (Change == 0)
       return unlistWorker(*Leader, I);
-    // The entry of a former life may stay listed for some seconds.
+    // The entry of a former incarnation may stay listed for some seconds.
     listWorker(*Leader, I, Workers_[I].StartedMs_ - (Change == 1 ? 1 : 0));
   }
 
-  void listWorker(ModelLeader &Leader, std::size_t I, std::int64_t Born) {
-    const WorkerIncarnation Life{Workers_[I].Id_, Born};
+  void listWorker(ModelLeader &Leader, std::size_t I, std::int64_t StartedMs) {
+    const WorkerIncarnation Incarnation{Workers_[I].Id_, StartedMs};
     WorkerRowPtr &Row = Leader.Rows_[I];
-    if (Born < 1 || Leader.EndedLives_.contains(Life) ||
-        (Row && Row->Record_.Incarnation_.StartedMs_ > Born))
+    if (StartedMs < 1 || Leader.EndedIncarnations_.contains(Incarnation) ||
+        (Row && Row->Record_.Incarnation_.StartedMs_ > StartedMs))
       return;
-    if (Row && Row->Record_.Incarnation_ == Life) {
+    if (Row && Row->Record_.Incarnation_ == Incarnation) {
       Row->Listed_ = true;
       return;
     }
     if (Row)
-      endLife(Leader, *Row);
+      endIncarnation(Leader, *Row);
     Row = std::make_shared<WorkerRow>();
-    Row->Record_.Incarnation_ = Life;
+    Row->Record_.Incarnation_ = Incarnation;
     Row->ClockAt_ = Now_;
   }
 
@@ -281,9 +281,9 @@
       Row = nullptr;
   }
 
-  static void endLife(ModelLeader &Leader, WorkerRow &Row) {
+  static void endIncarnation(ModelLeader &Leader, WorkerRow &Row) {
     Row.Ended_ = true;
-    Leader.EndedLives_.insert(Row.Record_.Incarnation_);
+    Leader.EndedIncarnations_.insert(Row.Record_.Incarnation_);
   }
 
   static bool needsHold(const ModelLeader &Leader, const WorkerRow &Row) {
@@ -365,7 +365,7 @@
     Item->From_ = Leader;
     Item->To_ = Row->Record_.Incarnation_.Id_ == Workers_[0].Id_ ? 0 : 1;
     Item->Row_ = Row;
-    Item->Born_ = Row->Record_.Incarnation_.StartedMs_;
+    Item->StartedMs_ = Row->Record_.Incarnation_.StartedMs_;
     Item->SentAt_ = Now_;
     Messages_.push_back(std::move(Item));
   }
@@ -417,7 +417,7 @@
 
   void stopJob(const LeaderPtr &Leader, const JobId &Id) {
     std::vector<RunName> Runs;
-    for (const auto &[Life, Use] : Leader->Table_.workers())
+    for (const auto &[Incarnation, Use] : Leader->Table_.workers())
       for (const RunName &Run : Use.Runs_)
         if (Run.Task_.Job_ == Id)
           Runs.push_back(Run);
@@ -465,12 +465,12 @@
   }
 
   /// Messages sent to an earlier process before the restart were lost with its
-  /// connections; those sent to the former life afterwards arrive within
+  /// connections; those sent to the former incarnation afterwards arrive within
   /// MaxStaleOrderDelay.
   bool arrives(const Message &Item) const {
     const ModelWorker &Worker = Workers_[Item.To_];
-    return Item.Born_ == Worker.StartedMs_ ||
-           (Item.SentAt_ > Worker.BornAt_ &&
+    return Item.StartedMs_ == Worker.StartedMs_ ||
+           (Item.SentAt_ > Worker.StartedAt_ &&
             Now_ - Item.SentAt_ <= MaxStaleOrderDelay);
   }
 
@@ -487,7 +487,7 @@
     Item.Executed_ = true;
     ModelWorker &Worker = Workers_[Item.To_];
     if (Item.Kind_ == Message::Kind::Hold) {
-      Item.Report_ = Worker.hold(Item.Hold_, Item.Born_, Now_);
+      Item.Report_ = Worker.hold(Item.Hold_, Item.StartedMs_, Now_);
       return;
     }
     if (Item.Kind_ != Message::Kind::Start) {
@@ -559,7 +559,7 @@
     if (Item.Reply_.Result_ != OrderResult::Done)
       return;
     if (Item.Kind_ == Message::Kind::StopStaleStart)
-      Leader.Tracker_.stopAnsweredByLaterLife(Item.Start_.Run_, Now_);
+      Leader.Tracker_.stopAnsweredByLaterIncarnation(Item.Start_.Run_, Now_);
     if (Item.Kind_ == Message::Kind::Stop)
       Leader.Tracker_.stopAnswered(Item.Start_.Run_, Now_);
   }
@@ -575,7 +575,7 @@
     WorkerRow &Row = *Item.Row_;
     const HoldReply &Reply = Item.Report_;
     if (Reply.Result_ == OrderResult::OtherLife) {
-      endLife(Leader, Row);
+      endIncarnation(Leader, Row);
       return;
     }
     if (Reply.Result_ != OrderResult::Done)
@@ -625,8 +625,8 @@
     return true;
   }
 
-  void loseRuns(const LeaderPtr &Leader, const WorkerIncarnation &Life) {
-    const jobs::WorkerUsage *Use = Leader->Table_.usageOf(Life);
+  void loseRuns(const LeaderPtr &Leader, const WorkerIncarnation &Incarnation) {
+    const jobs::WorkerUsage *Use = Leader->Table_.usageOf(Incarnation);
     if (!Use)
       return;
     std::vector<RunTracker::EndedRun> Ended;
--- a/src/cell/tests/runtrackertest.cpp
+++ b/src/cell/tests/runtrackertest.cpp
@@ -11,8 +11,8 @@
 using jobs::RunNumber;
 
 const TimePoint Now(std::chrono::hours(1));
-const WorkerIncarnation ThisLife{WorkerId("w"), 2};
-const WorkerIncarnation FormerLife{WorkerId("w"), 1};
+const WorkerIncarnation ThisIncarnation{WorkerId("w"), 2};
+const WorkerIncarnation FormerIncarnation{WorkerId("w"), 1};
 const WorkerIncarnation OtherWorker{WorkerId("x"), 2};
 
 /// Two jobs of two tasks, and their runs as a leader has read them from the
@@ -59,7 +59,7 @@
       HoldReply Reply;
       Reply.Result_ = OrderResult::Done;
       for (const auto &Item :
-           Tracker_.processReport(ThisLife, Reply, SentAt, 0).Ended_)
+           Tracker_.processReport(ThisIncarnation, Reply, SentAt, 0).Ended_)
         if (Item.Run_ == Run)
           return true;
       SentAt += std::chrono::milliseconds(800);
@@ -77,45 +77,45 @@
 BOOST_FIXTURE_TEST_SUITE(RunTrackerTest, Fixture)
 
 BOOST_AUTO_TEST_CASE(WantedRunsAreNotStopped) {
-  startRun("kept", 0, ThisLife);
+  startRun("kept", 0, ThisIncarnation);
   startRun("gone", 0, OtherWorker);
   cancel("gone");
-  BOOST_TEST(unwanted(ThisLife).empty());
-  BOOST_TEST(unwanted(FormerLife).empty());
+  BOOST_TEST(unwanted(ThisIncarnation).empty());
+  BOOST_TEST(unwanted(FormerIncarnation).empty());
 }
 
 // Guards against tasks of a cancelled job that go on running: their leader
 // ended before it had stopped them, and the next one, which reads only the
 // journal, knew no workers when it ordered the stops.
 BOOST_AUTO_TEST_CASE(RunsOfAnEndedJobAreUnwantedWithoutAStopOrder) {
-  startRun("kept", 0, ThisLife);
-  const RunName First = startRun("gone", 0, ThisLife);
+  startRun("kept", 0, ThisIncarnation);
+  const RunName First = startRun("gone", 0, ThisIncarnation);
   const RunName Second = startRun("gone", 1, OtherWorker);
   cancel("gone");
-  BOOST_TEST((unwanted(ThisLife) == std::vector{First}));
+  BOOST_TEST((unwanted(ThisIncarnation) == std::vector{First}));
   BOOST_TEST((unwanted(OtherWorker) == std::vector{Second}));
 }
 
 // A stop without a reply may not have been executed, and one with a reply may
-// not have reached the life that runs the task. The run stays unwanted until it
-// has ended, so that each report triggers another stop.
+// not have reached the incarnation that runs the task. The run stays unwanted
+// until it has ended, so that each report triggers another stop.
 BOOST_AUTO_TEST_CASE(ARunStaysUnwantedUntilItHasEnded) {
-  const RunName Run = startRun("gone", 0, ThisLife);
+  const RunName Run = startRun("gone", 0, ThisIncarnation);
   cancel("gone");
   Tracker_.stopAnswered(Run, Now);
-  BOOST_TEST((unwanted(ThisLife) == std::vector{Run}));
+  BOOST_TEST((unwanted(ThisIncarnation) == std::vector{Run}));
   jobs::RunEnded End;
   End.Run_ = Run;
   Table_.apply(End, Now);
   Tracker_.forget(Run);
-  BOOST_TEST(unwanted(ThisLife).empty());
+  BOOST_TEST(unwanted(ThisIncarnation).empty());
 }
 
 // Guards against a leak: the reply to a stop may arrive after the run was
 // reported as ended, and the state recorded for it was kept for the rest of the
 // term, one entry per cancelled run.
 BOOST_AUTO_TEST_CASE(LateStopReplyLeavesNoState) {
-  const RunName Run = startRun("gone", 0, ThisLife);
+  const RunName Run = startRun("gone", 0, ThisIncarnation);
   jobs::RunEnded End;
   End.Run_ = Run;
   Table_.apply(End, Now);
@@ -128,34 +128,36 @@
 // repeating stops for such runs, which kept the leader busy when a large job
 // was cancelled.
 BOOST_AUTO_TEST_CASE(ReportDuringAStopTriggersNoOther) {
-  const RunName Run = startRun("gone", 0, ThisLife);
+  const RunName Run = startRun("gone", 0, ThisIncarnation);
   cancel("gone");
-  BOOST_TEST((unwanted(ThisLife, Now) == std::vector{Run}));
+  BOOST_TEST((unwanted(ThisIncarnation, Now) == std::vector{Run}));
   Tracker_.stopAnswered(Run, Now);
-  BOOST_TEST(unwanted(ThisLife, Now).empty());
-  BOOST_TEST(unwanted(ThisLife, Now + RunTracker::MaxStopDuration -
-                                    std::chrono::milliseconds(1))
+  BOOST_TEST(unwanted(ThisIncarnation, Now).empty());
+  BOOST_TEST(unwanted(ThisIncarnation, Now + RunTracker::MaxStopDuration -
+                                           std::chrono::milliseconds(1))
                  .empty());
-  BOOST_TEST((unwanted(ThisLife, Now + RunTracker::MaxStopDuration) ==
+  BOOST_TEST((unwanted(ThisIncarnation, Now + RunTracker::MaxStopDuration) ==
               std::vector{Run}));
 }
 
 // Guards against a worker that is never used again while its task runs nowhere,
 // after its process restarted with a start in transit. A stop for the former
-// life's run was sent after each report and answered after the next hold had
-// been sent. The last reply counted, so no hold was ever sent after it.
-BOOST_AUTO_TEST_CASE(RunOfAFormerLifeEndsThoughAStopFollowsEachReport) {
-  const RunName Run = startRun("kept", 0, FormerLife);
+// incarnation's run was sent after each report and answered after the next hold
+// had been sent. The last reply counted, so no hold was ever sent after it.
+BOOST_AUTO_TEST_CASE(RunOfAFormerIncarnationEndsThoughAStopFollowsEachReport) {
+  const RunName Run = startRun("kept", 0, FormerIncarnation);
   Tracker_.runStaged(Run);
   Tracker_.startSent(Run, 1000);
-  BOOST_TEST(endsAfterHolds(
-      Run, [&](TimePoint At) { Tracker_.stopAnsweredByLaterLife(Run, At); }));
+  BOOST_TEST(endsAfterHolds(Run, [&](TimePoint At) {
+    Tracker_.stopAnsweredByLaterIncarnation(Run, At);
+  }));
 }
 
-// The same on the life that the run was sent to, since each report triggers
-// stops for unwanted runs: the resources of a cancelled job were never freed.
+// The same on the incarnation that the run was sent to, since each report
+// triggers stops for unwanted runs: the resources of a cancelled job were never
+// freed.
 BOOST_AUTO_TEST_CASE(UnwantedRunEndsThoughAStopFollowsEachReport) {
-  const RunName Run = startRun("gone", 0, ThisLife);
+  const RunName Run = startRun("gone", 0, ThisIncarnation);
   cancel("gone");
   Tracker_.runStaged(Run);
   BOOST_TEST(endsAfterHolds(
@@ -163,19 +165,19 @@
 }
 
 BOOST_AUTO_TEST_CASE(RunBeingStoppedIsUnwantedThoughItsJobContinues) {
-  const RunName Run = startRun("kept", 0, ThisLife);
-  startRun("kept", 1, ThisLife);
+  const RunName Run = startRun("kept", 0, ThisIncarnation);
+  startRun("kept", 1, ThisIncarnation);
   Table_.findLive(Run)->Stopping_ = true;
-  BOOST_TEST((unwanted(ThisLife) == std::vector{Run}));
+  BOOST_TEST((unwanted(ThisIncarnation) == std::vector{Run}));
 }
 
-// The later life does not run the tasks of the former one; its reports settle
-// them.
-BOOST_AUTO_TEST_CASE(RunsOfAFormerLifeAreNotStoppedOnTheNextOne) {
-  const RunName Run = startRun("gone", 0, FormerLife);
+// The later incarnation does not run the tasks of the former one; its reports
+// settle them.
+BOOST_AUTO_TEST_CASE(RunsOfAFormerIncarnationAreNotStoppedOnTheNext) {
+  const RunName Run = startRun("gone", 0, FormerIncarnation);
   cancel("gone");
-  BOOST_TEST(unwanted(ThisLife).empty());
-  BOOST_TEST((unwanted(FormerLife) == std::vector{Run}));
+  BOOST_TEST(unwanted(ThisIncarnation).empty());
+  BOOST_TEST((unwanted(FormerIncarnation) == std::vector{Run}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/cell/workerfollower.h
+++ b/src/cell/workerfollower.h
@@ -13,7 +13,7 @@
 };
 
 /// Follows the platform's worker list for one term: opens a session for each
-/// new worker, and ends the lives that newer ones replace.
+/// new worker, and ends the incarnations that newer ones replace.
 template <store::KeyValueStore Store, WorkerClient Client,
           MachineService Service>
 class WorkerFollower {
@@ -67,17 +67,17 @@
                      const std::vector<store::KeyValue> &Items) {
     std::set<WorkerIncarnation> Listed;
     for (const store::KeyValue &Item : Items)
-      if (const auto Life = recordWorker(T, Item))
-        Listed.insert(*Life);
-    for (const auto &[Life, Row] : T.Workers_)
-      if (!Listed.contains(Life))
+      if (const auto Incarnation = recordWorker(T, Item))
+        Listed.insert(*Incarnation);
+    for (const auto &[Incarnation, Row] : T.Workers_)
+      if (!Listed.contains(Incarnation))
         Row->Listed_ = false;
   }
 
   std::optional<WorkerIncarnation> recordWorker(Term<Store> &T,
                                                 const store::KeyValue &Item) {
     const auto Record = Directory_.Read_(Item);
-    if (!Record || T.EndedLives_.contains(Record->Incarnation_))
+    if (!Record || T.EndedIncarnations_.contains(Record->Incarnation_))
       return std::nullopt;
     const auto Known = T.Workers_.find(Record->Incarnation_);
     if (Known != T.Workers_.end()) {
@@ -96,15 +96,16 @@
   }
 
   void addWorker(Term<Store> &T, const WorkerRecord &Record) {
-    // A worker is one life on one machine, and an id belongs to one life at a
-    // time.
+    // A worker is one incarnation on one machine, and an id belongs to one
+    // incarnation at a time.
     std::vector<WorkerRowPtr> Replaced;
-    for (const auto &[Life, Row] : T.Workers_)
-      if ((Life.Id_ == Record.Incarnation_.Id_ &&
-           Life.StartedMs_ < Record.Incarnation_.StartedMs_) ||
-          (!Record.Machine_.empty() && Life.Id_ != Record.Incarnation_.Id_ &&
+    for (const auto &[Incarnation, Row] : T.Workers_)
+      if ((Incarnation.Id_ == Record.Incarnation_.Id_ &&
+           Incarnation.StartedMs_ < Record.Incarnation_.StartedMs_) ||
+          (!Record.Machine_.empty() &&
+           Incarnation.Id_ != Record.Incarnation_.Id_ &&
            Row->Record_.Machine_ == Record.Machine_ &&
-           Life.StartedMs_ < Record.Incarnation_.StartedMs_))
+           Incarnation.StartedMs_ < Record.Incarnation_.StartedMs_))
         Replaced.push_back(Row);
     auto Row = std::make_shared<WorkerRow>();
     Row->Record_ = Record;
@@ -117,15 +118,15 @@
         .field("pool", Record.Pool_.str());
     Sessions_->open(Row);
     for (const WorkerRowPtr &Old : Replaced)
-      Sessions_->endLife(*Old, "a newer life is listed",
-                         Old->Record_.Incarnation_.Id_ ==
-                             Record.Incarnation_.Id_);
+      Sessions_->endIncarnation(*Old, "a newer incarnation is listed",
+                                Old->Record_.Incarnation_.Id_ ==
+                                    Record.Incarnation_.Id_);
   }
 
   void markUnlisted(Term<Store> &T, const std::string &Key) {
     const std::string Id = Key.substr(Directory_.Prefix_.size());
-    for (const auto &[Life, Row] : T.Workers_)
-      if (Life.Id_.str() == Id) {
+    for (const auto &[Incarnation, Row] : T.Workers_)
+      if (Incarnation.Id_.str() == Id) {
         Row->Listed_ = false;
         Row->wake();
         framework::log::info("worker.unlisted").field("worker", Id);
--- a/src/cell/workersessions.h
+++ b/src/cell/workersessions.h
@@ -60,30 +60,32 @@
   /// next reports trigger it again.
   void stop(const jobs::RunName &Run) { Stopper_->stop(Run); }
 
-  /// Ends a worker's life and its runs. If \p SameId, the worker was restarted
-  /// under the same id: orders in transit to the earlier life may still be
-  /// executed by the new one, whose session then settles those runs.
-  void endLife(WorkerRow &Row, std::string_view Reason, bool SameId) {
+  /// Ends a worker's incarnation and its runs. If \p SameId, the worker was
+  /// restarted under the same id: orders in transit to the earlier incarnation
+  /// may still be executed by the new one, whose session then settles those
+  /// runs.
+  void endIncarnation(WorkerRow &Row, std::string_view Reason, bool SameId) {
     if (Row.Ended_)
       return;
-    Term_->markLifeEnded(Row, Reason);
+    Term_->markIncarnationEnded(Row, Reason);
     if (!SameId)
-      endAllLives(Row.Record_.Incarnation_.Id_, Reason);
+      endAllIncarnations(Row.Record_.Incarnation_.Id_, Reason);
   }
 
-  /// Ends the runs of all lives of a worker id that no process uses any more.
-  void endAllLives(const WorkerId &Id, std::string_view Reason) {
-    std::vector<WorkerIncarnation> Lives;
-    for (const auto &[Life, Use] : Term_->Table_.workers())
-      if (Life.Id_ == Id)
-        Lives.push_back(Life);
-    for (const WorkerIncarnation &Life : Lives)
-      loseRuns(Life, Reason);
+  /// Ends the runs of all incarnations of a worker id that no process uses any
+  /// more.
+  void endAllIncarnations(const WorkerId &Id, std::string_view Reason) {
+    std::vector<WorkerIncarnation> Incarnations;
+    for (const auto &[Incarnation, Use] : Term_->Table_.workers())
+      if (Incarnation.Id_ == Id)
+        Incarnations.push_back(Incarnation);
+    for (const WorkerIncarnation &Incarnation : Incarnations)
+      loseRuns(Incarnation, Reason);
   }
 
-  /// Ends all runs of a life that can no longer run anything, as Lost.
-  void loseRuns(const WorkerIncarnation &Life, std::string_view Reason) {
-    const jobs::WorkerUsage *Use = Term_->Table_.usageOf(Life);
+  /// Ends all runs of an incarnation that can no longer run anything, as Lost.
+  void loseRuns(const WorkerIncarnation &Incarnation, std::string_view Reason) {
+    const jobs::WorkerUsage *Use = Term_->Table_.usageOf(Incarnation);
     if (!Use)
       return;
     const std::set<jobs::RunName> Runs = Use->Runs_;
@@ -149,7 +151,8 @@
     if (Reply.Result_ == OrderResult::Done)
       return handleReport(Row, Reply, Order, SentAt);
     if (Reply.Result_ == OrderResult::OtherLife)
-      return endLife(Row, "another life of the worker replied", true);
+      return endIncarnation(Row, "another incarnation of the worker replied",
+                            true);
     if (Reply.Result_ == OrderResult::Fenced && Order.Token_ == Term_->Token_)
       Term_->Superseded_ = true;
     handleNoAnswer(Row, Reply.Result_);
@@ -403,7 +406,7 @@
     const auto Ended =
         Tracker_->startAnswered(Run, Reply.Result_, Attempt, now());
     if (Reply.Result_ == OrderResult::OtherLife)
-      endLife(Row, "another life of the worker replied", true);
+      endIncarnation(Row, "another incarnation of the worker replied", true);
     const scheduling::StepName Step{Run.Task_.Job_, Run.Task_.Occurrence_,
                                     Run.Task_.Step_};
     if (Reply.Result_ == OrderResult::BadTicket)
--- a/src/cell/workertable.h
+++ b/src/cell/workertable.h
@@ -18,8 +18,8 @@
 /// Safety margin for comparing times of two machines.
 constexpr Duration ClockSkewMargin = std::chrono::milliseconds(300);
 
-/// An order addressed to an earlier life of a restarted worker is executed
-/// within this time, or it is lost with the connection.
+/// An order addressed to an earlier incarnation of a restarted worker is
+/// executed within this time, or it is lost with the connection.
 constexpr Duration MaxStaleOrderDelay = std::chrono::milliseconds(1000);
 
 /// Time for which a leader without confirmation from the store keeps renewing
@@ -52,7 +52,7 @@
 /// Delay before an order without a reply is sent again.
 constexpr Duration OrderRetryPause = std::chrono::milliseconds(150);
 
-/// The leader's view of one life of a worker.
+/// The leader's view of one incarnation of a worker.
 struct WorkerRow {
   WorkerRecord Record_;
   /// Whether the platform's worker list contains it.
@@ -60,13 +60,13 @@
   /// Whether it has replied to this leader. Then its runs are known, and it
   /// refuses orders of earlier leaders.
   bool Synced_ = false;
-  /// A start that was sent to an earlier life of this worker may still be
-  /// executed here.
+  /// A start that was sent to an earlier incarnation of this worker may still
+  /// be executed here.
   bool MayRunStaleStarts_ = false;
   /// The worker reports runs that the journal does not show on it. It is polled
   /// until they are gone, so that a lost stop is sent again.
   bool HasUnknownRuns_ = false;
-  /// The life has ended, and all runs on it are gone.
+  /// The incarnation has ended, and all runs on it are gone.
   bool Ended_ = false;
   /// Latest known reading of the worker's clock, and the local time at which it
   /// was received.
