--- a/src/cell/cellservice.h
+++ b/src/cell/cellservice.h
@@ -184,20 +184,20 @@
   /// members may already belong to the next term.
   void runTerm(const TermPtr &T, const SessionsPtr &Sessions,
                const MachinesPtr &Machines) {
-    const TimePoint Begun = now();
+    const TimePoint StartedAt = now();
     if (!load(*T))
       return;
     adoptConfig(*T);
     T->JournalLoaded_ = true;
     Metrics_.histogram("takeover_seconds")
-        .record(std::chrono::duration<double>(now() - Begun).count());
+        .record(std::chrono::duration<double>(now() - StartedAt).count());
     framework::log::info("leadership.begun")
         .field("token", T->Token_.value())
         .field("jobs_open", static_cast<std::uint64_t>(T->Table_.open().size()))
         .field("jobs_known",
                static_cast<std::uint64_t>(T->Table_.jobs().size()))
         .field("runs_unwanted", countUnwantedRuns(*T))
-        .field("load_ms", (now() - Begun).count() / 1000);
+        .field("load_ms", (now() - StartedAt).count() / 1000);
     framework::fibers::spawn(
         [Follower = std::make_shared<WorkerFollower<Store, Client, Service>>(
              Store_, Directory_, T, Sessions, Machines)] {
@@ -291,7 +291,7 @@
     std::vector<WorkerIncarnation> Lost;
     for (const auto &[Incarnation, Use] : T.Table_.workers())
       if (!T.Workers_.contains(Incarnation) &&
-          now() > lapsedAfter(T, Incarnation))
+          now() > leaseExpiryOf(T, Incarnation))
         Lost.push_back(Incarnation);
     for (const WorkerIncarnation &Incarnation : Lost)
       Sessions_->loseRuns(Incarnation,
@@ -302,8 +302,8 @@
   /// is not in the worker table. A restarted process settles the runs of its
   /// former incarnation itself; if it is never listed, an order that is
   /// executed late may still reach it.
-  static TimePoint lapsedAfter(const Term<Store> &T,
-                               const WorkerIncarnation &Incarnation) {
+  static TimePoint leaseExpiryOf(const Term<Store> &T,
+                                 const WorkerIncarnation &Incarnation) {
     const auto Newer = T.Workers_.upper_bound(Incarnation);
     if (Newer != T.Workers_.end() && Newer->first.Id_ == Incarnation.Id_)
       return TimePoint::max();
--- a/src/cell/cellsettings.h
+++ b/src/cell/cellsettings.h
@@ -46,9 +46,9 @@
 absl::StatusOr<CellSettings> readCellSettings(std::string_view Text,
                                               const std::string &File);
 
-/// Returns the comma-separated names of the settings groups in which \p Fresh
+/// Returns the comma-separated names of the settings groups in which \p Updated
 /// differs and that take effect only after a restart; empty if there are none.
 std::string settingsNeedingRestart(const CellSettings &InForce,
-                                   const CellSettings &Fresh);
+                                   const CellSettings &Updated);
 
 } // namespace laburnumspread::cell
--- a/src/cell/configfollower.h
+++ b/src/cell/configfollower.h
@@ -49,10 +49,10 @@
 
   /// Returns the store revision of the read, or nullopt if the read failed.
   std::optional<fleet::Revision> readAll() {
-    const TimePoint Begun = framework::clock::SteadyClock().now();
+    const TimePoint StartedAt = framework::clock::SteadyClock().now();
     const auto Read = Store_.range(Prefix_, fleet::Revision(0),
                                    framework::clock::wallDeadline(ReadTime));
-    recordRead(Read, framework::clock::SteadyClock().now() - Begun);
+    recordRead(Read, framework::clock::SteadyClock().now() - StartedAt);
     if (!Read.ok())
       return std::nullopt;
     Events_.Confirmed_();
--- a/src/cell/internal/callergateway.cpp
+++ b/src/cell/internal/callergateway.cpp
@@ -73,15 +73,15 @@
 }
 
 CallerAnswer CallerGateway::serve(const CallerRequest &Request) {
-  const TimePoint Begun = SteadyClock().now();
+  const TimePoint StartedAt = SteadyClock().now();
   CallerAnswer Answer = handle(Request);
   Metrics_
       .counter("caller_answers_total{status=\"" +
                std::string(nameOf(Answer.Status_)) + "\"}")
       .add();
   Metrics_.histogram("caller_answer_seconds")
-      .record(
-          std::chrono::duration<double>(SteadyClock().now() - Begun).count());
+      .record(std::chrono::duration<double>(SteadyClock().now() - StartedAt)
+                  .count());
   return Answer;
 }
 
--- a/src/cell/internal/cellsettings.cpp
+++ b/src/cell/internal/cellsettings.cpp
@@ -119,32 +119,33 @@
 }
 
 std::string settingsNeedingRestart(const CellSettings &InForce,
-                                   const CellSettings &Fresh) {
+                                   const CellSettings &Updated) {
   std::string Names;
   const auto Note = [&](bool Differs, std::string_view Name) {
     if (Differs)
       Names += (Names.empty() ? "" : ",") + std::string(Name);
   };
-  Note(InForce.Name_ != Fresh.Name_, "name");
-  Note(InForce.Zone_ != Fresh.Zone_, "zone");
-  Note(InForce.CallerAddress_ != Fresh.CallerAddress_ ||
-           InForce.ReadinessAddress_ != Fresh.ReadinessAddress_ ||
-           InForce.PeerAddress_ != Fresh.PeerAddress_ ||
-           InForce.AdvertisedPeerAddress_ != Fresh.AdvertisedPeerAddress_ ||
-           InForce.MetricsAddress_ != Fresh.MetricsAddress_,
+  Note(InForce.Name_ != Updated.Name_, "name");
+  Note(InForce.Zone_ != Updated.Zone_, "zone");
+  Note(InForce.CallerAddress_ != Updated.CallerAddress_ ||
+           InForce.ReadinessAddress_ != Updated.ReadinessAddress_ ||
+           InForce.PeerAddress_ != Updated.PeerAddress_ ||
+           InForce.AdvertisedPeerAddress_ != Updated.AdvertisedPeerAddress_ ||
+           InForce.MetricsAddress_ != Updated.MetricsAddress_,
        "listen");
-  Note(InForce.StoreAddress_ != Fresh.StoreAddress_ ||
-           InForce.StorePrefix_ != Fresh.StorePrefix_,
+  Note(InForce.StoreAddress_ != Updated.StoreAddress_ ||
+           InForce.StorePrefix_ != Updated.StorePrefix_,
        "store");
-  Note(InForce.MachineApiAddress_ != Fresh.MachineApiAddress_ ||
-           InForce.AdvisorAddress_ != Fresh.AdvisorAddress_,
+  Note(InForce.MachineApiAddress_ != Updated.MachineApiAddress_ ||
+           InForce.AdvisorAddress_ != Updated.AdvisorAddress_,
        "services");
-  Note(InForce.PeerKeys_.Public_ != Fresh.PeerKeys_.Public_ ||
-           InForce.PeerKeys_.Secret_ != Fresh.PeerKeys_.Secret_,
+  Note(InForce.PeerKeys_.Public_ != Updated.PeerKeys_.Public_ ||
+           InForce.PeerKeys_.Secret_ != Updated.PeerKeys_.Secret_,
        "peerKeys");
-  Note(InForce.Cores_ != Fresh.Cores_ || InForce.LinkMbps_ != Fresh.LinkMbps_,
+  Note(InForce.Cores_ != Updated.Cores_ ||
+           InForce.LinkMbps_ != Updated.LinkMbps_,
        "capacity");
-  Note(InForce.LogFormat_ != Fresh.LogFormat_, "log.format");
+  Note(InForce.LogFormat_ != Updated.LogFormat_, "log.format");
   return Names;
 }
 
--- a/src/cell/machinemanager.h
+++ b/src/cell/machinemanager.h
@@ -66,8 +66,8 @@
   /// Adds waves that were not known before.
   void setWaves(const std::map<WaveNumber, WaveRecord> &Waves) {
     for (const auto &[Number, Record] : Waves) {
-      auto [Row, Fresh] = Waves_.try_emplace(Number);
-      if (!Fresh)
+      auto [Row, Inserted] = Waves_.try_emplace(Number);
+      if (!Inserted)
         continue;
       Row->second.Record_ = Record;
       Row->second.FirstSeenAt_ = now();
@@ -104,12 +104,12 @@
 
   void listLoop() {
     while (!Term_->ended()) {
-      const TimePoint Asked = now();
+      const TimePoint RequestedAt = now();
       const auto Read = Api_.list();
       if (Term_->ended())
         return;
       if (Read.ok())
-        updateFromList(*Read, Asked);
+        updateFromList(*Read, RequestedAt);
       else
         framework::log::warning("machines.list_failed")
             .field("reason", std::string(Read.status().message()));
@@ -118,10 +118,10 @@
   }
 
   void waitForNextList() {
-    const TimePoint Begun = now();
+    const TimePoint WaitStartedAt = now();
     while (!Term_->ended()) {
       framework::fibers::sleepFor(PlanInterval);
-      const Duration Waited = now() - Begun;
+      const Duration Waited = now() - WaitStartedAt;
       if (Waited > ListIntervalIdle ||
           (Waited > ListIntervalBusy && awaitsListChange()))
         return;
@@ -145,11 +145,12 @@
     return false;
   }
 
-  void updateFromList(const std::vector<MachineRecord> &List, TimePoint Asked) {
-    const TimePoint ListOf = Asked - MaxListLag;
+  void updateFromList(const std::vector<MachineRecord> &List,
+                      TimePoint RequestedAt) {
+    const TimePoint ListOf = RequestedAt - MaxListLag;
     const std::set<WorkerIncarnation> EndedByOrder =
         Table_->incarnationsEndedByOrders(ListOf);
-    Table_->updateFromList(List, Asked);
+    Table_->updateFromList(List, RequestedAt);
     std::vector<WorkerRowPtr> Gone;
     for (const auto &[Incarnation, Row] : Term_->Workers_) {
       const bool Silent = Row->silentSince(ListOf);
@@ -257,9 +258,9 @@
 
   void planUpkeep() {
     for (auto &[Number, Wave] : Waves_)
-      if (const auto Begun = Term_->Table_.upkeep().find(Number);
-          Begun != Term_->Table_.upkeep().end())
-        Wave.Started_ = Begun->second;
+      if (const auto Found = Term_->Table_.upkeep().find(Number);
+          Found != Term_->Table_.upkeep().end())
+        Wave.Started_ = Found->second;
     const capacity::UpkeepPlanner Planner(Term_->Table_,
                                           Term_->Bounds_.UpkeepDuration_);
     const capacity::UpkeepPlan Plan =
--- a/src/cell/machineorders.h
+++ b/src/cell/machineorders.h
@@ -137,14 +137,14 @@
 
   bool stored(const jobs::Event &Item) {
     auto Ready = std::make_shared<framework::fibers::Waiter>();
-    auto Known = std::make_shared<std::optional<CommitOutcome>>();
-    Term_->Commits_.stage(Item, [Ready, Known](CommitOutcome Outcome) {
-      *Known = Outcome;
+    auto Committed = std::make_shared<std::optional<CommitOutcome>>();
+    Term_->Commits_.stage(Item, [Ready, Committed](CommitOutcome Outcome) {
+      *Committed = Outcome;
       Ready->signal();
     });
-    while (!Term_->ended() && !*Known)
+    while (!Term_->ended() && !*Committed)
       Ready->waitUntil(framework::clock::wallDeadline(RetryPause));
-    return *Known == CommitOutcome::Stored;
+    return *Committed == CommitOutcome::Stored;
   }
 
   void settleOrder(const MachineId &Machine, MachineResult Result) {
--- a/src/cell/tests/modelworker.h
+++ b/src/cell/tests/modelworker.h
@@ -45,7 +45,7 @@
     RunNumber &Last = Blocked_[Run.Task_];
     Last = std::max(Last, Run.Run_);
   }
-  void lapse(TimePoint Now) {
+  void expireLease(TimePoint Now) {
     if (clockMs(Now) < LeaseEndMs_)
       return;
     const auto All = Running_;
@@ -58,7 +58,7 @@
   }
 
   OrderReply start(const StartOrder &Order, TimePoint Now) {
-    lapse(Now);
+    expireLease(Now);
     const std::int64_t Clock = clockMs(Now);
     if (Order.Token_ < Token_)
       return {OrderResult::Fenced, Clock};
@@ -76,7 +76,7 @@
   }
 
   OrderReply stop(const RunName &Run, FencingToken Token, TimePoint Now) {
-    lapse(Now);
+    expireLease(Now);
     if (Token < Token_)
       return {OrderResult::Fenced, clockMs(Now)};
     Token_ = Token;
@@ -88,7 +88,7 @@
 
   HoldReply hold(const HoldOrder &Order, std::int64_t StartedMs,
                  TimePoint Now) {
-    lapse(Now);
+    expireLease(Now);
     HoldReply Reply;
     Reply.ClockMs_ = clockMs(Now);
     if (Order.Token_ < Token_) {
--- a/src/cell/tests/runmodel.h
+++ b/src/cell/tests/runmodel.h
@@ -458,7 +458,7 @@
 
   void finishRun(int Detail) {
     ModelWorker &Worker = Workers_[pick(Detail, WorkerCount)];
-    Worker.lapse(Now_);
+    Worker.expireLease(Now_);
     if (!Worker.Running_.empty())
       Worker.end(*Worker.Running_.begin(),
                  Detail % 5 == 0 ? EndKind::Failed : EndKind::Done);
@@ -504,7 +504,7 @@
     ++Starts_;
     std::size_t ActiveRuns = 0;
     for (ModelWorker &Worker : Workers_) {
-      Worker.lapse(Now_);
+      Worker.expireLease(Now_);
       for (const RunName &Other : Worker.Running_)
         ActiveRuns += Other.Task_ == Run.Task_;
       RC_ASSERT(Worker.Running_.size() <= 1u);
@@ -723,7 +723,7 @@
     const jobs::CellTable &Table = Leaders_.back()->Table_;
     std::uint64_t Count = 0;
     for (ModelWorker &Worker : Workers_) {
-      Worker.lapse(Now_);
+      Worker.expireLease(Now_);
       for (const RunName &Run : Worker.Running_)
         Count += Table.find(Run.Task_.Job_)->ended();
     }
--- a/src/cell/workertable.h
+++ b/src/cell/workertable.h
@@ -28,13 +28,13 @@
 constexpr Duration StoreOutageTolerance = std::chrono::milliseconds(4000);
 
 /// Returns the time after which no run that an earlier leader ordered can still
-/// be active on a worker that has not replied since the takeover at \p Begun.
-/// The earlier leader sent orders for at most StoreOutageTolerance more, and
-/// the leases of its last orders have expired by then.
-inline TimePoint inheritedLeaseExpiry(TimePoint Begun, Duration MaxLease) {
+/// be active on a worker that has not replied since the takeover at \p
+/// TakeoverAt. The earlier leader sent orders for at most StoreOutageTolerance
+/// more, and the leases of its last orders have expired by then.
+inline TimePoint inheritedLeaseExpiry(TimePoint TakeoverAt, Duration MaxLease) {
   const auto Lease = Duration(static_cast<std::int64_t>(
       static_cast<double>(MaxLease.count()) / MinClockRate));
-  return Begun + StoreOutageTolerance + Lease + ClockSkewMargin;
+  return TakeoverAt + StoreOutageTolerance + Lease + ClockSkewMargin;
 }
 
 /// Highest number of consecutive unanswered orders with which a worker still
