--- a/src/cell/machinemanager.h
+++ b/src/cell/machinemanager.h
@@ -8,17 +8,18 @@
 
 namespace laburnumspread::cell {
 
-/// How the operator is told of a wave's progress.
+/// Key and value under which a wave's progress is reported to the operator.
 struct WaveStatusCodec {
   std::function<std::string(WaveNumber)> Key_;
   std::function<std::string(bool Done)> Value_;
 };
 
-/// Gives machines their upkeep and moves them between pools, for one term.
+/// Orders the upkeep of machines and moves machines between pools, for one
+/// term.
 ///
-/// Two holders must not take turns on one machine within the platform's lease
-/// time, so a new holder leaves the machines alone that the journal shows as
-/// ordered lately.
+/// Two leaders must not alternate on one machine within the platform's lease
+/// time, so a new leader sends no orders for machines that the journal shows as
+/// ordered recently.
 template <store::KeyValueStore Store, WorkerClient Client,
           MachineService Service>
 class MachineManager : public std::enable_shared_from_this<
@@ -28,12 +29,12 @@
   using SessionsPtr = std::shared_ptr<WorkerSessions<Store, Client>>;
 
   static constexpr Duration PlanInterval = std::chrono::milliseconds(100);
-  /// The list is read this often while something is in question, else at the
-  /// longer interval: each reading is paid for.
+  /// Interval between reads of the machine list while a change is expected;
+  /// otherwise the longer one applies, since each read is billed.
   static constexpr Duration ListIntervalBusy = std::chrono::milliseconds(1000);
   static constexpr Duration ListIntervalIdle = std::chrono::milliseconds(10000);
-  /// The list may be this old when it is asked for: what it says of a worker
-  /// that answered later is passed over.
+  /// The list may be this old when it is requested. What it says about a worker
+  /// that replied later is ignored.
   static constexpr Duration MaxListLag = std::chrono::milliseconds(1000);
   static constexpr Duration RetryPause = std::chrono::milliseconds(400);
   static constexpr Duration ReportTimeout = std::chrono::milliseconds(900);
@@ -47,9 +48,11 @@
         Orders_(std::make_shared<MachineOrders<Store, Service>>(Term_, Api,
                                                                 Table_)) {}
 
+  /// Loads the machines ordered by earlier leaders and starts the list and
+  /// planning loops.
   void start() {
     for (const auto &[Machine, Order] : Term_->Table_.machineOrders()) {
-      Table_->setHome(Machine, Order.HomePool_);
+      Table_->setHomePool(Machine, Order.HomePool_);
       Table_->blockOrdersUntil(Machine, Term_->StartedAt_ +
                                             Term_->Bounds_.MachineOrderLease_ -
                                             Order.SinceLastOrder_);
@@ -60,10 +63,11 @@
         [Self = this->shared_from_this()] { Self->planLoop(); });
   }
 
+  /// Adds waves that were not known before.
   void setWaves(const std::map<WaveNumber, WaveRecord> &Waves) {
     for (const auto &[Number, Record] : Waves) {
-      auto [Row, Fresh] = Waves_.try_emplace(Number);
-      if (!Fresh)
+      auto [Row, Inserted] = Waves_.try_emplace(Number);
+      if (!Inserted)
         continue;
       Row->second.Record_ = Record;
       Row->second.FirstSeenAt_ = now();
@@ -76,21 +80,23 @@
     }
   }
 
-  /// A worker has come up: its machine is where the worker says.
+  /// Records that a worker was listed; its record tells the pool of its
+  /// machine.
   void recordWorker(const WorkerRecord &Record) {
     Table_->recordWorker(Record, now());
   }
 
-  /// Whether the worker is held back for an order on its machine.
-  bool heldBack(const WorkerRecord &Record) const {
-    return Table_->heldBack(Record.Machine_);
+  /// Whether the worker receives no tasks because of an order for its machine.
+  bool isUnschedulable(const WorkerRecord &Record) const {
+    return Table_->isUnschedulable(Record.Machine_);
   }
 
 private:
   static TimePoint now() { return Term<Store>::now(); }
 
-  /// An upkeep that an earlier holder ordered last may not show in any list
-  /// yet, and would not be counted against the wave's bound.
+  /// Whether upkeep may be ordered. The last upkeep ordered by an earlier
+  /// leader may not be in any list yet and would then not count towards the
+  /// wave's limit.
   bool maySendUpkeepOrders() const {
     return Orders_->maySendOrders() &&
            now() - Term_->StartedAt_ > Term_->Bounds_.MachineOrderLease_;
@@ -98,12 +104,12 @@
 
   void listLoop() {
     while (!Term_->ended()) {
-      const TimePoint Asked = now();
+      const TimePoint RequestedAt = now();
       const auto Read = Api_.list();
       if (Term_->ended())
         return;
       if (Read.ok())
-        updateFromList(*Read, Asked);
+        updateFromList(*Read, RequestedAt);
       else
         framework::log::warning("machines.list_failed")
             .field("reason", std::string(Read.status().message()));
@@ -112,26 +118,26 @@
   }
 
   void waitForNextList() {
-    const TimePoint Begun = now();
+    const TimePoint WaitStartedAt = now();
     while (!Term_->ended()) {
       framework::fibers::sleepFor(PlanInterval);
-      const Duration Waited = now() - Begun;
+      const Duration Waited = now() - WaitStartedAt;
       if (Waited > ListIntervalIdle ||
           (Waited > ListIntervalBusy && awaitsListChange()))
         return;
     }
   }
 
-  /// Whether the list could tell something that is waited for.
+  /// Whether the machine list could show a change that is waited for.
   bool awaitsListChange() const {
     if (Table_->anyBusy())
       return true;
-    for (const auto &[Life, Use] : Term_->Table_.workers())
-      if (!Term_->Workers_.contains(Life))
+    for (const auto &[Incarnation, Use] : Term_->Table_.workers())
+      if (!Term_->Workers_.contains(Incarnation))
         return true;
-    for (const auto &[Life, Row] : Term_->Workers_)
+    for (const auto &[Incarnation, Row] : Term_->Workers_)
       if ((Row->Unanswered_ > 0 || !Row->Listed_) &&
-          Term_->Table_.usageOf(Life) != nullptr)
+          Term_->Table_.usageOf(Incarnation) != nullptr)
         return true;
     for (const auto &[Number, Wave] : Waves_)
       if (!Wave.DoneReported_)
@@ -139,45 +145,47 @@
     return false;
   }
 
-  void updateFromList(const std::vector<MachineRecord> &List, TimePoint Asked) {
-    const TimePoint ListOf = Asked - MaxListLag;
+  void updateFromList(const std::vector<MachineRecord> &List,
+                      TimePoint RequestedAt) {
+    const TimePoint ListOf = RequestedAt - MaxListLag;
     const std::set<WorkerIncarnation> EndedByOrder =
-        Table_->livesEndedByOrders(ListOf);
-    Table_->updateFromList(List, Asked);
+        Table_->incarnationsEndedByOrders(ListOf);
+    Table_->updateFromList(List, RequestedAt);
     std::vector<WorkerRowPtr> Gone;
-    for (const auto &[Life, Row] : Term_->Workers_) {
+    for (const auto &[Incarnation, Row] : Term_->Workers_) {
       const bool Silent = Row->silentSince(ListOf);
-      if (!Row->Ended_ && (Silent || EndedByOrder.contains(Life)) &&
+      if (!Row->Ended_ && (Silent || EndedByOrder.contains(Incarnation)) &&
           Table_->showsWorkerGone(Row->Record_))
         Gone.push_back(Row);
     }
     for (const WorkerRowPtr &Row : Gone)
-      Sessions_->endLife(*Row, "its machine is down or gone by the list",
-                         false);
+      Sessions_->endIncarnation(
+          *Row, "the machine list shows its machine as down or gone", false);
     loseRunsOnUnlistedWorkers(ListOf);
   }
 
-  /// Runs on workers that nobody talks to any more and that no machine runs.
+  /// Ends runs on workers that have no session and that no listed machine runs.
   void loseRunsOnUnlistedWorkers(TimePoint ListOf) {
     std::vector<WorkerIncarnation> Lost;
-    for (const auto &[Life, Use] : Term_->Table_.workers()) {
-      const auto Ended = Term_->EndedLives_.find(Life);
-      const TimePoint Since =
-          Ended == Term_->EndedLives_.end() ? Term_->StartedAt_ : Ended->second;
-      if (!Term_->Workers_.contains(Life) && Since < ListOf &&
-          !Table_->listsWorker(Life.Id_))
-        Lost.push_back(Life);
+    for (const auto &[Incarnation, Use] : Term_->Table_.workers()) {
+      const auto Ended = Term_->EndedIncarnations_.find(Incarnation);
+      const TimePoint Since = Ended == Term_->EndedIncarnations_.end()
+                                  ? Term_->StartedAt_
+                                  : Ended->second;
+      if (!Term_->Workers_.contains(Incarnation) && Since < ListOf &&
+          !Table_->listsWorker(Incarnation.Id_))
+        Lost.push_back(Incarnation);
     }
-    for (const WorkerIncarnation &Life : Lost)
-      Sessions_->loseRuns(Life, "no machine runs its worker");
+    for (const WorkerIncarnation &Incarnation : Lost)
+      Sessions_->loseRuns(Incarnation, "no listed machine runs its worker");
   }
 
-  /// Standing tasks on workers that are to leave start elsewhere at once;
-  /// finite ones have the time that is left.
+  /// Moves long-running tasks off draining workers at once; finite tasks keep
+  /// the time that is left.
   void evacuateDraining() {
     std::vector<jobs::RunName> Leaving;
-    for (const auto &[Life, Row] : Term_->Workers_) {
-      const jobs::WorkerUsage *Use = Term_->Table_.usageOf(Life);
+    for (const auto &[Incarnation, Row] : Term_->Workers_) {
+      const jobs::WorkerUsage *Use = Term_->Table_.usageOf(Incarnation);
       if (!Row->Record_.Draining_ || Row->Ended_ || !Use)
         continue;
       for (const jobs::RunName &Run : Use->Runs_) {
@@ -190,7 +198,7 @@
     for (const jobs::RunName &Run : Leaving) {
       framework::log::info("run.evacuate")
           .field("task", Run.Task_.str())
-          .field("reason", "its worker drains");
+          .field("reason", "its worker is draining");
       Sessions_->stop(Run);
     }
   }
@@ -208,7 +216,7 @@
     }
   }
 
-  /// Brings the views in line with what the workers run.
+  /// Updates the machine views from the runs on the workers.
   void refreshViews() {
     for (auto &[Id, View] : Table_->views()) {
       View.Usable_ = false;
@@ -217,13 +225,13 @@
       View.FiniteRuns_ = 0;
       View.LongRunningRuns_.clear();
     }
-    for (const auto &[Life, Row] : Term_->Workers_) {
+    for (const auto &[Incarnation, Row] : Term_->Workers_) {
       const auto Found = Table_->views().find(Row->Record_.Machine_);
       if (Found == Table_->views().end() || Row->Ended_)
         continue;
       capacity::MachineView &View = Found->second;
       View.Usable_ = View.Usable_ || Row->acceptsTasks();
-      const jobs::WorkerUsage *Use = Term_->Table_.usageOf(Life);
+      const jobs::WorkerUsage *Use = Term_->Table_.usageOf(Incarnation);
       if (!Use)
         continue;
       View.IdleSince_ = now();
@@ -250,9 +258,9 @@
 
   void planUpkeep() {
     for (auto &[Number, Wave] : Waves_)
-      if (const auto Begun = Term_->Table_.upkeep().find(Number);
-          Begun != Term_->Table_.upkeep().end())
-        Wave.Started_ = Begun->second;
+      if (const auto Found = Term_->Table_.upkeep().find(Number);
+          Found != Term_->Table_.upkeep().end())
+        Wave.Started_ = Found->second;
     const capacity::UpkeepPlanner Planner(Term_->Table_,
                                           Term_->Bounds_.UpkeepDuration_);
     const capacity::UpkeepPlan Plan =
@@ -290,14 +298,15 @@
     store::Transaction Txn;
     Txn.Puts_ = {{WaveStatus_.Key_(Number), WaveStatus_.Value_(Done), 0}};
     while (!Term_->ended()) {
-      // An older report that is carried out late must not hide a newer one.
+      // A report of an earlier state that is written late must not overwrite a
+      // newer one.
       if (!Done && Waves_.at(Number).DoneReported_)
         return;
       Txn.Compares_ = {{Keys_.head(), fleet::Revision(Term_->Token_.value())}};
       const auto Written =
           Store_.commit(Txn, framework::clock::wallDeadline(ReportTimeout));
-      // The head may be written anew at this moment: then nothing was written,
-      // and the next try goes by the new token.
+      // If the head key is being rewritten at this moment, nothing is written,
+      // and the next attempt uses the new token.
       if (Written.ok() && Written->Succeeded_) {
         framework::log::info("wave.reported")
             .field("wave", Number.value())
@@ -309,7 +318,8 @@
   }
 
 public:
-  /// Keys of the cell, for the guard of reports.
+  /// Sets the keys of the cell; reports are written only while its head key has
+  /// this term's token.
   void setKeys(const journal::CellKeys &Keys) { Keys_ = Keys; }
 
 private:
@@ -322,7 +332,7 @@
         Table_->views(),
         computePoolDemand(Term_->Table_, Term_->Config_, Term_->Estimates_,
                           now()),
-        Table_->homes(), standbyPools(), now());
+        Table_->homePools(), standbyPools(), now());
     for (const capacity::MoveOrder &Order : Orders)
       Orders_->move(Order);
   }
--- a/src/cell/term.h
+++ b/src/cell/term.h
@@ -9,31 +9,32 @@
 
 namespace laburnumspread::cell {
 
-/// One leadership of a cell from takeover to loss: the tables, and the queue to
-/// the journal. Everything that works for it holds it by shared ownership and
-/// stops when ended() holds.
+/// State of one leadership of a cell, from takeover to loss: the tables and the
+/// commit queue to the journal. All fibers that work for the term share
+/// ownership of it and stop once ended() returns true.
 template <store::KeyValueStore Store> struct Term {
   Term(Store &S, const journal::CellKeys &Keys,
        journal::Leadership<Store> &Leadership,
        framework::metrics::Registry &Metrics, CellBounds Bounds)
-      : Leadership_(Leadership), Reign_(Leadership.term()),
+      : Leadership_(Leadership), TermNumber_(Leadership.term()),
         Token_(Leadership.token()), Log_(S, Keys, Leadership),
         Commits_(Table_, Log_, Metrics), Metrics_(Metrics), Bounds_(Bounds),
         StartedAt_(now()) {}
 
   static TimePoint now() { return framework::clock::SteadyClock().now(); }
 
+  /// Returns the time since \p When in milliseconds.
   static std::int64_t sinceMs(TimePoint When) {
     return std::chrono::duration_cast<std::chrono::milliseconds>(now() - When)
         .count();
   }
 
-  /// The worker's process is gone or has started again. What it ran is for the
-  /// caller to settle.
-  void markLifeEnded(WorkerRow &Row, std::string_view Reason) {
+  /// Marks a worker's incarnation as ended: its process exited or was
+  /// restarted. The caller ends the runs that it had.
+  void markIncarnationEnded(WorkerRow &Row, std::string_view Reason) {
     if (std::exchange(Row.Ended_, true))
       return;
-    EndedLives_.emplace(Row.Record_.Incarnation_, now());
+    EndedIncarnations_.emplace(Row.Record_.Incarnation_, now());
     framework::log::info("worker.over")
         .field("worker", Row.Record_.Incarnation_.Id_.str())
         .field("born_ms", Row.Record_.Incarnation_.StartedMs_)
@@ -41,17 +42,22 @@
     Row.wake();
   }
 
-  bool ended() const { return Ended_ || !Leadership_.holds(Reign_); }
+  /// Whether the leadership has ended; fibers of the term then stop.
+  bool ended() const { return Ended_ || !Leadership_.holds(TermNumber_); }
 
-  /// Whether orders to workers may leave.
+  /// Whether orders may be sent to workers: the term is not over, and the store
+  /// confirmed the leadership recently enough.
   bool maySendOrders() const {
     return !ended() && now() - Leadership_.confirmedAt() < StoreOutageTolerance;
   }
 
+  /// Returns the time after which no run ordered by an earlier leader is active
+  /// on a worker that has not replied to this one.
   TimePoint inheritedLeaseExpiry() const {
     return cell::inheritedLeaseExpiry(StartedAt_, Bounds_.MaxLease_);
   }
 
+  /// Computes the metrics of the term.
   TermGauges gauges() const {
     TermGauges Result;
     Result.Token_ = Token_.value();
@@ -59,10 +65,10 @@
     Result.JobsKnown_ = Table_.jobs().size();
     Result.Workers_ = Workers_.size();
     Result.StoreStalled_ = Commits_.stalled();
-    for (const auto &[Life, Use] : Table_.workers())
+    for (const auto &[Incarnation, Use] : Table_.workers())
       for (const jobs::RunName &Run : Use.Runs_)
         countRun(Run, Result);
-    for (const auto &[Life, Row] : Workers_)
+    for (const auto &[Incarnation, Row] : Workers_)
       Result.WorkersSilent_ += Row->Unanswered_ > 0;
     return Result;
   }
@@ -79,26 +85,29 @@
   }
 
   journal::Leadership<Store> &Leadership_;
-  journal::TermNumber Reign_;
-  /// Rises when the head is written anew under this leadership.
+  journal::TermNumber TermNumber_;
+  /// Increases when this entry rewrites the head key during the same
+  /// leadership.
   jobs::FencingToken Token_;
   jobs::CellTable Table_;
   journal::Journal<Store> Log_;
   CommitQueue<Store> Commits_;
   WorkerTable Workers_;
-  /// Lives that are over, and since when. Their entries may stay listed for
-  /// some seconds.
-  std::map<WorkerIncarnation, TimePoint> EndedLives_;
+  /// Ended incarnations and when each ended. The platform's worker list may
+  /// show them for some seconds more.
+  std::map<WorkerIncarnation, TimePoint> EndedIncarnations_;
   CellConfig Config_;
   scheduling::RunTimeEstimator Estimates_;
   scheduling::AdviceTable Advice_;
   framework::metrics::Registry &Metrics_;
   CellBounds Bounds_;
   TimePoint StartedAt_;
-  /// Whether the journal has been read: before, nothing is known of any job.
+  /// Whether the journal has been replayed. Until then the tables are
+  /// incomplete.
   bool JournalLoaded_ = false;
+  /// Set when the leadership ended.
   bool Ended_ = false;
-  /// A worker has refused the token: there is a later holder.
+  /// Set when a worker refused the fencing token: a later leader exists.
   bool Superseded_ = false;
 };
 
--- a/src/cell/tests/callattemptstest.cpp
+++ b/src/cell/tests/callattemptstest.cpp
@@ -6,21 +6,21 @@
 
 BOOST_AUTO_TEST_SUITE(CallAttemptsTest)
 
-BOOST_AUTO_TEST_CASE(UnsentCallIsSurelyNotTaken) {
+BOOST_AUTO_TEST_CASE(UnsentCallIsNotAccepted) {
   BOOST_TEST(!CallAttempts().mayHaveBeenAccepted());
 }
 
-BOOST_AUTO_TEST_CASE(CallThatWasTurnedDownIsNotTaken) {
+BOOST_AUTO_TEST_CASE(RejectedCallIsNotAccepted) {
   CallAttempts Attempts;
   Attempts.sent();
   Attempts.rejected();
   BOOST_TEST(!Attempts.mayHaveBeenAccepted());
 }
 
-// A caller is told "not run" and sends the order elsewhere: the first holder
-// got the call and died, its successor turned the second sending down, and the
-// journal has the job all the same.
-BOOST_AUTO_TEST_CASE(OneAnswerDoesNotSpeakForTwoSendings) {
+// Guards against telling a caller "not run", so that it submits the job
+// elsewhere, although the job is in the journal: the first leader accepted the
+// call and died, and its successor rejected the second attempt.
+BOOST_AUTO_TEST_CASE(OneRejectionDoesNotCoverTwoAttempts) {
   CallAttempts Attempts;
   Attempts.sent();
   Attempts.sent();
@@ -28,10 +28,10 @@
   BOOST_TEST(Attempts.mayHaveBeenAccepted());
 }
 
-// During an outage a caller's last attempt comes with no time left. It hears
-// "unknown", though no holder was ever asked, and does not dare to hand the
-// order in again.
-BOOST_AUTO_TEST_CASE(CallWithoutTimeLeftIsNotTaken) {
+// Guards against answering "unknown" to a caller whose last attempt during an
+// outage has no time left. No leader was ever asked, and the caller would not
+// dare to submit the job again.
+BOOST_AUTO_TEST_CASE(CallWithoutTimeLeftIsRefused) {
   CallRouter Router({[](const peers::JobCall &, const CallRouter::ReplyFn &) {},
                      [] { return false; }, [] { return journal::Leader(); },
                      [](const journal::Leader &) { return false; },
--- a/src/cell/tests/machinetabletest.cpp
+++ b/src/cell/tests/machinetabletest.cpp
@@ -11,9 +11,9 @@
 const TimePoint Start(std::chrono::hours(1));
 const MachineId Machine("m1");
 
-WorkerRecord worker(std::int64_t BornMs) {
+WorkerRecord worker(std::int64_t StartedMs) {
   WorkerRecord Record;
-  Record.Incarnation_ = {WorkerId("w" + std::to_string(BornMs)), BornMs};
+  Record.Incarnation_ = {WorkerId("w" + std::to_string(StartedMs)), StartedMs};
   Record.Machine_ = Machine;
   Record.Pool_ = PoolName("pool");
   return Record;
@@ -40,9 +40,9 @@
   BOOST_TEST(!Table.busy(Machine));
 }
 
-// More machines of a wave are down than may be: the store's history is dropped
-// and all workers' entries are read anew, those of machines among them that
-// went down a moment ago. Each took its machine for back.
+// Guards against too many machines of a wave being down. After the store has
+// dropped its history, all workers' entries are read again, including those of
+// machines that have just gone down; each made its machine appear to be back.
 BOOST_AUTO_TEST_CASE(EntryOfTheFormerWorkerDoesNotSettleTheOrder) {
   MachineTable Table(1500ms);
   Table.recordWorker(worker(1), Start);
@@ -53,25 +53,26 @@
   BOOST_TEST(Table.busy(Machine));
 }
 
-// More machines of a wave are down than may be: while the store's watches hear
-// nothing, a machine is moved and then ordered down by what the platform's list
-// says. The entry of the worker that came up after the move is seen only then,
-// and was taken for that after the upkeep.
-BOOST_AUTO_TEST_CASE(LifeFromBeforeTheOrderDoesNotSettleIt) {
+// Guards against too many machines of a wave being down. While the store's
+// watches receive nothing, a machine is moved and then ordered into upkeep
+// based on the platform's list. The entry of the worker that came up after the
+// move is seen only then, and was taken for the worker after the upkeep.
+BOOST_AUTO_TEST_CASE(IncarnationFromBeforeTheOrderDoesNotSettleIt) {
   MachineTable Table(2000ms);
   Table.recordWorker(worker(1), Start);
   Table.orderSent(Machine, 2000ms, Start);
   Table.orderAcknowledged(Machine, Start + 10ms);
   Table.recordWorker(worker(2), Start + 300ms);
   BOOST_TEST(Table.busy(Machine));
-  BOOST_TEST((Table.lifeEndedByOrder(Machine) == worker(2).Incarnation_));
+  BOOST_TEST(
+      (Table.incarnationEndedByOrder(Machine) == worker(2).Incarnation_));
   Table.recordWorker(worker(3), Start + 2000ms);
   BOOST_TEST(!Table.busy(Machine));
 }
 
-// A new holder must not order a machine that its predecessor ordered a moment
-// ago. It learns of the machine only later, by the list or by its worker.
-BOOST_AUTO_TEST_CASE(MachineIsLeftAloneHoweverItBecomesKnown) {
+// A new leader must not order a machine that its predecessor ordered shortly
+// before, whether it learns of the machine from the list or from the worker.
+BOOST_AUTO_TEST_CASE(OrdersAreBlockedHoweverTheMachineBecomesKnown) {
   MachineTable Table(1500ms);
   Table.blockOrdersUntil(Machine, Start + 3s);
   Table.recordWorker(worker(1), Start);
@@ -82,11 +83,10 @@
   BOOST_TEST((Other.views()[Machine].NoOrderBefore_ == Start + 3s));
 }
 
-// Machines of the standby pool stay on for good: each new holder took the pool
-// in which it found a machine for its home.
-// The platform refuses a move (the worker leaves, the pool is of other
-// machines): the same order left again at each look, ten a second.
-BOOST_AUTO_TEST_CASE(RefusedMachineIsLeftAloneForAWhile) {
+// Guards against sending a move again at every planning step, ten times a
+// second, while the platform refuses it because the worker is leaving or the
+// pool does not take the machine.
+BOOST_AUTO_TEST_CASE(MoveIsNotRepeatedSoonAfterARefusal) {
   MachineTable Table(1500ms);
   Table.recordWorker(worker(1), Start);
   Table.orderSent(Machine, 1500ms, Start);
@@ -96,15 +96,17 @@
               Start + 10ms + MachineTable::PauseAfterRefusal));
 }
 
-BOOST_AUTO_TEST_CASE(HomeIsKeptOverTakeovers) {
+// Guards against machines of the standby pool that stay on forever: each new
+// leader took the pool in which it found a machine for its home.
+BOOST_AUTO_TEST_CASE(HomePoolIsKeptAcrossTakeovers) {
   MachineTable Table(1500ms);
-  Table.setHome(Machine, PoolName("standby"));
+  Table.setHomePool(Machine, PoolName("standby"));
   Table.updateFromList({listed(MachineState::Up)}, Start);
-  BOOST_TEST(Table.homes().at(Machine) == PoolName("standby"));
+  BOOST_TEST(Table.homePools().at(Machine) == PoolName("standby"));
 }
 
-// The list lags: shown up within the time that the order takes at least, the
-// machine has not even gone down yet.
+// The list lags behind: a machine shown as up within the minimum duration of
+// the order has not even gone down yet.
 BOOST_AUTO_TEST_CASE(EarlyListDoesNotSettleTheOrder) {
   MachineTable Table(1500ms);
   Table.orderSent(Machine, 1500ms, Start);
@@ -117,9 +119,9 @@
   BOOST_TEST(!Table.busy(Machine));
 }
 
-// A worker that does not answer may be cut off and at work; only the list can
-// say before its lease ends that it is not.
-BOOST_AUTO_TEST_CASE(ListTellsWhichSilentWorkersAreGone) {
+// A worker that does not reply may be unreachable but running. Before its lease
+// ends, only the list can show that it is gone.
+BOOST_AUTO_TEST_CASE(ListShowsWhichSilentWorkersAreGone) {
   MachineTable Table(1500ms);
   BOOST_TEST(!Table.showsWorkerGone(worker(1)));
   MachineRecord Up = listed(MachineState::Up);
@@ -135,22 +137,23 @@
   BOOST_TEST(Table.showsWorkerGone(worker(1)));
 }
 
-// An order that was done before is acknowledged as well, and an order that is
-// said again when the machine is back. Only the life that the order was given
-// for may count as ended by it, and only if a list that is newer says so.
-BOOST_AUTO_TEST_CASE(OrderEndsOnlyTheLifeThatItWasGivenFor) {
+// The platform also acknowledges an order that it executed before, and one that
+// is repeated when the machine is back. Only the incarnation for which the
+// order was sent may count as ended by it, and only if a newer list shows that.
+BOOST_AUTO_TEST_CASE(OrderEndsOnlyTheIncarnationThatItWasSentFor) {
   MachineTable Table(1500ms);
   Table.recordWorker(worker(1), Start);
   Table.orderSent(Machine, 1500ms, Start);
-  BOOST_TEST(Table.livesEndedByOrders(Start + 2s).empty());
-  BOOST_TEST((Table.lifeEndedByOrder(Machine) == worker(1).Incarnation_));
+  BOOST_TEST(Table.incarnationsEndedByOrders(Start + 2s).empty());
+  BOOST_TEST(
+      (Table.incarnationEndedByOrder(Machine) == worker(1).Incarnation_));
   Table.orderAcknowledged(Machine, Start + 1s);
-  BOOST_TEST(Table.livesEndedByOrders(Start + 1s).empty());
-  BOOST_TEST((Table.livesEndedByOrders(Start + 2s) ==
+  BOOST_TEST(Table.incarnationsEndedByOrders(Start + 1s).empty());
+  BOOST_TEST((Table.incarnationsEndedByOrders(Start + 2s) ==
               std::set{worker(1).Incarnation_}));
   Table.recordWorker(worker(2), Start + 3s);
   Table.orderAcknowledged(Machine, Start + 4s);
-  BOOST_TEST(Table.livesEndedByOrders(Start + 5s).empty());
+  BOOST_TEST(Table.incarnationsEndedByOrders(Start + 5s).empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/cell/tests/modelworker.h
+++ b/src/cell/tests/modelworker.h
@@ -15,27 +15,27 @@
 
 constexpr auto Lease = 6000ms;
 
-/// A worker as the platform describes it.
+/// A worker that behaves as the platform specifies.
 struct ModelWorker {
   WorkerId Id_;
   std::int64_t StartedMs_ = 1;
-  TimePoint BornAt_{};
+  TimePoint StartedAt_{};
   double Rate_ = 1;
   FencingToken Token_;
   std::int64_t LeaseEndMs_ = 0;
   std::set<RunName> Running_;
   std::vector<EndReport> Ends_;
   std::uint64_t NextEnd_ = 1;
-  /// Runs up to here of a task can not start any more.
+  /// For each task, the highest run number that can no longer start.
   std::map<TaskName, RunNumber> Blocked_;
 
   std::int64_t clockMs(TimePoint Now) const {
-    return 1000 +
-           static_cast<std::int64_t>(
-               Rate_ * static_cast<double>((Now - BornAt_).count()) / 1000.0);
+    return 1000 + static_cast<std::int64_t>(
+                      Rate_ * static_cast<double>((Now - StartedAt_).count()) /
+                      1000.0);
   }
 
-  /// By value: the caller's run may be the one in the set.
+  /// Takes the run by value because the caller may pass an element of Running_.
   void end(RunName Run, EndKind Kind) {
     Running_.erase(Run);
     Ends_.push_back({NextEnd_++, Run, Kind, jobs::Checkpoint()});
@@ -45,7 +45,7 @@
     RunNumber &Last = Blocked_[Run.Task_];
     Last = std::max(Last, Run.Run_);
   }
-  void lapse(TimePoint Now) {
+  void expireLease(TimePoint Now) {
     if (clockMs(Now) < LeaseEndMs_)
       return;
     const auto All = Running_;
@@ -58,7 +58,7 @@
   }
 
   OrderReply start(const StartOrder &Order, TimePoint Now) {
-    lapse(Now);
+    expireLease(Now);
     const std::int64_t Clock = clockMs(Now);
     if (Order.Token_ < Token_)
       return {OrderResult::Fenced, Clock};
@@ -76,7 +76,7 @@
   }
 
   OrderReply stop(const RunName &Run, FencingToken Token, TimePoint Now) {
-    lapse(Now);
+    expireLease(Now);
     if (Token < Token_)
       return {OrderResult::Fenced, clockMs(Now)};
     Token_ = Token;
@@ -86,8 +86,9 @@
     return {OrderResult::Done, clockMs(Now)};
   }
 
-  HoldReply hold(const HoldOrder &Order, std::int64_t Born, TimePoint Now) {
-    lapse(Now);
+  HoldReply hold(const HoldOrder &Order, std::int64_t StartedMs,
+                 TimePoint Now) {
+    expireLease(Now);
     HoldReply Reply;
     Reply.ClockMs_ = clockMs(Now);
     if (Order.Token_ < Token_) {
@@ -98,7 +99,7 @@
     if (Order.DeadlineMs_ > 0)
       extend(Order.DeadlineMs_, Now);
     Reply.Result_ =
-        Born == StartedMs_ ? OrderResult::Done : OrderResult::OtherLife;
+        StartedMs == StartedMs_ ? OrderResult::Done : OrderResult::OtherLife;
     std::erase_if(Ends_, [&](const EndReport &Row) {
       return Row.Number_ <= Order.AcknowledgedEnds_;
     });
@@ -112,7 +113,7 @@
     ModelWorker Fresh;
     Fresh.Id_ = Id_;
     Fresh.StartedMs_ = StartedMs_ + 1;
-    Fresh.BornAt_ = Now;
+    Fresh.StartedAt_ = Now;
     Fresh.Rate_ = Rate_;
     *this = Fresh;
   }
--- a/src/cell/tests/pooldemandtest.cpp
+++ b/src/cell/tests/pooldemandtest.cpp
@@ -12,7 +12,7 @@
 const PoolName Kitchen("kitchen");
 constexpr std::int64_t Each = 500;
 
-/// A cell with one queue, whose jobs are late an hour after they have come.
+/// A cell with one queue, whose jobs are late one hour after their arrival.
 struct Fixture {
   Fixture() {
     QueueConfig Queue;
@@ -39,22 +39,23 @@
   }
 
   capacity::PoolDemand demand(Duration After) {
-    return computePoolDemand(Table_, Config_, Learned_, Start + After)[Kitchen];
+    return computePoolDemand(Table_, Config_, Estimates_,
+                             Start + After)[Kitchen];
   }
 
   jobs::CellTable Table_;
   CellConfig Config_;
-  scheduling::RunTimeEstimator Learned_;
+  scheduling::RunTimeEstimator Estimates_;
 };
 
 } // namespace
 
 BOOST_FIXTURE_TEST_SUITE(PoolDemandTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(StandingAndTimelyWorkAreToldApart) {
-  jobs::StepSpec Standing = step(3);
-  Standing.LongRunning_ = true;
-  accept("a", {Standing});
+BOOST_AUTO_TEST_CASE(LongRunningAndTimelyWorkAreSeparate) {
+  jobs::StepSpec LongRunning = step(3);
+  LongRunning.LongRunning_ = true;
+  accept("a", {LongRunning});
   accept("b", {step(2)});
   BOOST_TEST(demand(10min).LongRunning_.MilliCpus_ == 3 * Each);
   BOOST_TEST(demand(10min).FeasibleFinite_.MilliCpus_ == 2 * Each);
@@ -62,15 +63,15 @@
   BOOST_TEST(demand(24h).FeasibleFinite_.MilliCpus_ == 0);
 }
 
-BOOST_AUTO_TEST_CASE(MemoryIsAskedForToo) {
-  jobs::StepSpec Standing = step(3);
-  Standing.LongRunning_ = true;
-  Standing.PerTask_.MemoryMb_ = 4000;
-  accept("a", {Standing});
+BOOST_AUTO_TEST_CASE(MemoryDemandIsCounted) {
+  jobs::StepSpec LongRunning = step(3);
+  LongRunning.LongRunning_ = true;
+  LongRunning.PerTask_.MemoryMb_ = 4000;
+  accept("a", {LongRunning});
   BOOST_TEST(demand(0s).LongRunning_.MemoryMb_ == 12000);
 }
 
-BOOST_AUTO_TEST_CASE(RoomForEachTaskThatLastsAndWaits) {
+BOOST_AUTO_TEST_CASE(WaitingLongRunningTasksNeedRoomForTheLargest) {
   jobs::StepSpec Wide = step(1), Deep = step(1), Finite = step(1);
   Wide.LongRunning_ = Deep.LongRunning_ = true;
   Wide.PerTask_ = {4000, 100, 0};
@@ -88,7 +89,7 @@
   BOOST_TEST((demand(0s).WaitingLongRunning_ == Deep.PerTask_));
 }
 
-BOOST_AUTO_TEST_CASE(FillersAndStepsThatWaitAskForNothing) {
+BOOST_AUTO_TEST_CASE(FillersAndBlockedStepsCreateNoDemand) {
   jobs::StepSpec Filler = step(7);
   Filler.Filler_ = true;
   jobs::StepSpec Second = step(5);
@@ -97,14 +98,14 @@
   BOOST_TEST(demand(10min).FeasibleFinite_.MilliCpus_ == Each);
 }
 
-BOOST_AUTO_TEST_CASE(JobsOfARemovedQueueAskForNothing) {
+BOOST_AUTO_TEST_CASE(JobsOfARemovedQueueCreateNoDemand) {
   accept("a", {step(4)}, "removed");
-  BOOST_TEST(computePoolDemand(Table_, Config_, Learned_, Start).empty());
+  BOOST_TEST(computePoolDemand(Table_, Config_, Estimates_, Start).empty());
 }
 
-// One large job foretells nothing; only many small ones count as inflow, and
-// only while they are new.
-BOOST_AUTO_TEST_CASE(InflowIsOfTheJobsThatHaveJustCome) {
+// A single large job predicts nothing: only many small jobs count as an arrival
+// rate, and only while they are recent.
+BOOST_AUTO_TEST_CASE(ArrivalRateCountsRecentJobsOnly) {
   for (int I = 0; I < 50; ++I) {
     jobs::StepSpec Small = step(1);
     Small.Estimate_ = 1s;
@@ -117,9 +118,9 @@
   BOOST_TEST(demand(2 * ArrivalWindow).PriorArrivals_.lowerEstimate() == 0);
 }
 
-// Short jobs that are done before the next look still tell how fast work comes
-// in; cancelled ones do not.
-BOOST_AUTO_TEST_CASE(InflowCountsJobsThatAreDone) {
+// Short jobs that end before the next planning step still count towards the
+// arrival rate; cancelled ones do not.
+BOOST_AUTO_TEST_CASE(ArrivalRateIncludesFinishedJobs) {
   jobs::StepSpec Small = step(1);
   Small.Estimate_ = 1s;
   const auto End = [&](const std::string &Id, jobs::EndKind Kind) {
--- a/src/cell/tests/runmodeltest.cpp
+++ b/src/cell/tests/runmodeltest.cpp
@@ -8,7 +8,7 @@
 
 using model::Model;
 
-/// What the adversary does: choices with their details.
+/// Steps of the adversary: choices with their details.
 using Schedule = std::vector<std::pair<int, int>>;
 constexpr int LongestSchedule = 400;
 
@@ -26,21 +26,21 @@
 
 BOOST_AUTO_TEST_SUITE(RunModelTest)
 
-BOOST_AUTO_TEST_CASE(NoTaskRunsTwiceAndNoneRunsOnWhateverTheOrderOfThings) {
+BOOST_AUTO_TEST_CASE(NoTaskRunsTwiceAndEndedJobsAreStopped) {
   std::uint64_t Starts = 0;
   std::uint64_t RunsToStop = 0;
   const auto Property = [&] {
-    Model World;
+    Model Simulation;
     const Schedule Steps = *anySchedule();
     for (const auto &[Choice, Detail] : Steps)
-      World.step(Choice, Detail);
-    World.settle(*anyDetail());
-    Starts += World.starts();
-    RunsToStop += World.runsToStop();
+      Simulation.step(Choice, Detail);
+    Simulation.settle(*anyDetail());
+    Starts += Simulation.starts();
+    RunsToStop += Simulation.runsToStop();
   };
   BOOST_TEST(rc::check("one place at a time, and an end", Property));
-  // The adversary must leave room for work, and leave work over, or the check
-  // says nothing.
+  // The check means nothing unless the adversary lets tasks start and leaves
+  // runs of ended jobs behind.
   BOOST_TEST(Starts > 1000u);
   BOOST_TEST(RunsToStop > 100u);
 }
--- a/src/cell/tests/runtrackertest.cpp
+++ b/src/cell/tests/runtrackertest.cpp
@@ -11,11 +11,12 @@
 using jobs::RunNumber;
 
 const TimePoint Now(std::chrono::hours(1));
-const WorkerIncarnation Here{WorkerId("w"), 2};
-const WorkerIncarnation Former{WorkerId("w"), 1};
-const WorkerIncarnation Elsewhere{WorkerId("x"), 2};
+const WorkerIncarnation ThisIncarnation{WorkerId("w"), 2};
+const WorkerIncarnation FormerIncarnation{WorkerId("w"), 1};
+const WorkerIncarnation OtherWorker{WorkerId("x"), 2};
 
-/// Two jobs of two tasks, and the runs that a holder has read of them.
+/// Two jobs of two tasks, and their runs as a leader has read them from the
+/// journal.
 struct Fixture {
   Fixture() {
     accept("kept");
@@ -30,8 +31,8 @@
     Table_.apply(Item, Now);
   }
 
-  RunName begin(const std::string &Job, std::uint32_t Task,
-                const WorkerIncarnation &On) {
+  RunName startRun(const std::string &Job, std::uint32_t Task,
+                   const WorkerIncarnation &On) {
     const RunName Run{{JobId(Job), 0, 0, Task}, RunNumber(1)};
     Table_.apply(jobs::RunIntended{Run, On}, Now);
     return Run;
@@ -41,27 +42,28 @@
     Table_.apply(jobs::JobCancelled{JobId(Job)}, Now);
   }
 
-  /// By a report that answers a hold sent at \p SentAt.
+  /// As of a report that answers a hold sent at \p SentAt.
   std::vector<RunName>
   unwanted(const WorkerIncarnation &Worker,
            TimePoint SentAt = Now + RunTracker::MaxStopDuration) const {
     return Tracker_.unwanted(Worker, SentAt);
   }
 
-  /// Whether the run is over after some holds that do not list it. Each leaves
-  /// at once after the report before; \p StopAnswered comes a moment later.
+  /// Whether the run ends after some holds that do not report it. Each hold is
+  /// sent right after the previous report; \p StopAnswered is called 1 ms
+  /// later.
   template <typename Answer>
-  bool isOver(const RunName &Run, const Answer &StopAnswered) {
-    TimePoint Sent = Now;
+  bool endsAfterHolds(const RunName &Run, const Answer &StopAnswered) {
+    TimePoint SentAt = Now;
     for (int Holds = 0; Holds < 10; ++Holds) {
       HoldReply Reply;
       Reply.Result_ = OrderResult::Done;
       for (const auto &Item :
-           Tracker_.processReport(Here, Reply, Sent, 0).Ended_)
+           Tracker_.processReport(ThisIncarnation, Reply, SentAt, 0).Ended_)
         if (Item.Run_ == Run)
           return true;
-      Sent += std::chrono::milliseconds(800);
-      StopAnswered(Sent + std::chrono::milliseconds(1));
+      SentAt += std::chrono::milliseconds(800);
+      StopAnswered(SentAt + std::chrono::milliseconds(1));
     }
     return false;
   }
@@ -74,45 +76,46 @@
 
 BOOST_FIXTURE_TEST_SUITE(RunTrackerTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(WhatIsWantedIsNotStopped) {
-  begin("kept", 0, Here);
-  begin("gone", 0, Elsewhere);
+BOOST_AUTO_TEST_CASE(WantedRunsAreNotStopped) {
+  startRun("kept", 0, ThisIncarnation);
+  startRun("gone", 0, OtherWorker);
   cancel("gone");
-  BOOST_TEST(unwanted(Here).empty());
-  BOOST_TEST(unwanted(Former).empty());
+  BOOST_TEST(unwanted(ThisIncarnation).empty());
+  BOOST_TEST(unwanted(FormerIncarnation).empty());
 }
 
-// Tasks of a cancelled job ran on: their holder was gone before it had stopped
-// them, and the next one, which reads only the journal, knew no worker at the
-// moment at which it ordered the stops.
-BOOST_AUTO_TEST_CASE(RunsOfAnEndedJobAreUnwantedWithoutAnyOrder) {
-  begin("kept", 0, Here);
-  const RunName First = begin("gone", 0, Here);
-  const RunName Second = begin("gone", 1, Elsewhere);
+// Guards against tasks of a cancelled job that go on running: their leader
+// ended before it had stopped them, and the next one, which reads only the
+// journal, knew no workers when it ordered the stops.
+BOOST_AUTO_TEST_CASE(RunsOfAnEndedJobAreUnwantedWithoutAStopOrder) {
+  startRun("kept", 0, ThisIncarnation);
+  const RunName First = startRun("gone", 0, ThisIncarnation);
+  const RunName Second = startRun("gone", 1, OtherWorker);
   cancel("gone");
-  BOOST_TEST((unwanted(Here) == std::vector{First}));
-  BOOST_TEST((unwanted(Elsewhere) == std::vector{Second}));
+  BOOST_TEST((unwanted(ThisIncarnation) == std::vector{First}));
+  BOOST_TEST((unwanted(OtherWorker) == std::vector{Second}));
 }
 
-// A stop without an answer may not have been carried out, and one that was
-// answered need not have reached the life that runs the task. The run stays
-// unwanted until it has ended, so that each report asks for it once more.
+// A stop without a reply may not have been executed, and one with a reply may
+// not have reached the incarnation that runs the task. The run stays unwanted
+// until it has ended, so that each report triggers another stop.
 BOOST_AUTO_TEST_CASE(ARunStaysUnwantedUntilItHasEnded) {
-  const RunName Run = begin("gone", 0, Here);
+  const RunName Run = startRun("gone", 0, ThisIncarnation);
   cancel("gone");
   Tracker_.stopAnswered(Run, Now);
-  BOOST_TEST((unwanted(Here) == std::vector{Run}));
+  BOOST_TEST((unwanted(ThisIncarnation) == std::vector{Run}));
   jobs::RunEnded End;
   End.Run_ = Run;
   Table_.apply(End, Now);
   Tracker_.forget(Run);
-  BOOST_TEST(unwanted(Here).empty());
+  BOOST_TEST(unwanted(ThisIncarnation).empty());
 }
 
-// The answer to a stop may come after the run was listed as ended. What it left
-// behind was kept for the rest of the term, a row for each cancelled run.
-BOOST_AUTO_TEST_CASE(AnAnswerAfterTheEndLeavesNothing) {
-  const RunName Run = begin("gone", 0, Here);
+// Guards against a leak: the reply to a stop may arrive after the run was
+// reported as ended, and the state recorded for it was kept for the rest of the
+// term, one entry per cancelled run.
+BOOST_AUTO_TEST_CASE(LateStopReplyLeavesNoState) {
+  const RunName Run = startRun("gone", 0, ThisIncarnation);
   jobs::RunEnded End;
   End.Run_ = Run;
   Table_.apply(End, Now);
@@ -121,57 +124,60 @@
   BOOST_TEST(!Tracker_.stopped(Run));
 }
 
-// A run that was told to stop is listed for a moment more. Stops without end
-// for such runs kept the holder of a large job's cancel busy.
-BOOST_AUTO_TEST_CASE(AReportWithinTheTimeOfAStopAsksForNoOther) {
-  const RunName Run = begin("gone", 0, Here);
+// A run that is being stopped is still reported for a moment. Guards against
+// repeating stops for such runs, which kept the leader busy when a large job
+// was cancelled.
+BOOST_AUTO_TEST_CASE(ReportDuringAStopTriggersNoOther) {
+  const RunName Run = startRun("gone", 0, ThisIncarnation);
   cancel("gone");
-  BOOST_TEST((unwanted(Here, Now) == std::vector{Run}));
+  BOOST_TEST((unwanted(ThisIncarnation, Now) == std::vector{Run}));
   Tracker_.stopAnswered(Run, Now);
-  BOOST_TEST(unwanted(Here, Now).empty());
-  BOOST_TEST(unwanted(Here, Now + RunTracker::MaxStopDuration -
-                                std::chrono::milliseconds(1))
+  BOOST_TEST(unwanted(ThisIncarnation, Now).empty());
+  BOOST_TEST(unwanted(ThisIncarnation, Now + RunTracker::MaxStopDuration -
+                                           std::chrono::milliseconds(1))
                  .empty());
-  BOOST_TEST(
-      (unwanted(Here, Now + RunTracker::MaxStopDuration) == std::vector{Run}));
+  BOOST_TEST((unwanted(ThisIncarnation, Now + RunTracker::MaxStopDuration) ==
+              std::vector{Run}));
 }
 
-// A worker's process started again with a start on its way, and the worker went
-// out of use for good, its task nowhere at work: a stop of the former life's
-// run left after each report and was answered after the next hold had left. The
-// last answer counted, so no hold was ever sent after it.
-BOOST_AUTO_TEST_CASE(ARunOfAFormerLifeIsOverThoughAStopFollowsEachReport) {
-  const RunName Run = begin("kept", 0, Former);
+// Guards against a worker that is never used again while its task runs nowhere,
+// after its process restarted with a start in transit. A stop for the former
+// incarnation's run was sent after each report and answered after the next hold
+// had been sent. The last reply counted, so no hold was ever sent after it.
+BOOST_AUTO_TEST_CASE(RunOfAFormerIncarnationEndsThoughAStopFollowsEachReport) {
+  const RunName Run = startRun("kept", 0, FormerIncarnation);
   Tracker_.runStaged(Run);
   Tracker_.startSent(Run, 1000);
-  BOOST_TEST(isOver(
-      Run, [&](TimePoint At) { Tracker_.stopAnsweredByLaterLife(Run, At); }));
+  BOOST_TEST(endsAfterHolds(Run, [&](TimePoint At) {
+    Tracker_.stopAnsweredByLaterIncarnation(Run, At);
+  }));
 }
 
-// The same on the life that the run was meant for, once each report asks for
-// the stop of what is unwanted: the room of a cancelled job stayed taken.
-BOOST_AUTO_TEST_CASE(AnUnwantedRunIsOverThoughAStopFollowsEachReport) {
-  const RunName Run = begin("gone", 0, Here);
+// The same on the incarnation that the run was sent to, since each report
+// triggers stops for unwanted runs: the resources of a cancelled job were never
+// freed.
+BOOST_AUTO_TEST_CASE(UnwantedRunEndsThoughAStopFollowsEachReport) {
+  const RunName Run = startRun("gone", 0, ThisIncarnation);
   cancel("gone");
   Tracker_.runStaged(Run);
-  BOOST_TEST(
-      isOver(Run, [&](TimePoint At) { Tracker_.stopAnswered(Run, At); }));
+  BOOST_TEST(endsAfterHolds(
+      Run, [&](TimePoint At) { Tracker_.stopAnswered(Run, At); }));
 }
 
-BOOST_AUTO_TEST_CASE(ARunThatIsBeingStoppedIsUnwantedThoughItsJobGoesOn) {
-  const RunName Run = begin("kept", 0, Here);
-  begin("kept", 1, Here);
+BOOST_AUTO_TEST_CASE(RunBeingStoppedIsUnwantedThoughItsJobContinues) {
+  const RunName Run = startRun("kept", 0, ThisIncarnation);
+  startRun("kept", 1, ThisIncarnation);
   Table_.findLive(Run)->Stopping_ = true;
-  BOOST_TEST((unwanted(Here) == std::vector{Run}));
+  BOOST_TEST((unwanted(ThisIncarnation) == std::vector{Run}));
 }
 
-// The later life does not run what its former one ran; such runs are settled by
-// its reports.
-BOOST_AUTO_TEST_CASE(RunsOfAFormerLifeAreNotStoppedOnTheNextOne) {
-  const RunName Run = begin("gone", 0, Former);
+// The later incarnation does not run the tasks of the former one; its reports
+// settle them.
+BOOST_AUTO_TEST_CASE(RunsOfAFormerIncarnationAreNotStoppedOnTheNext) {
+  const RunName Run = startRun("gone", 0, FormerIncarnation);
   cancel("gone");
-  BOOST_TEST(unwanted(Here).empty());
-  BOOST_TEST((unwanted(Former) == std::vector{Run}));
+  BOOST_TEST(unwanted(ThisIncarnation).empty());
+  BOOST_TEST((unwanted(FormerIncarnation) == std::vector{Run}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
