--- a/src/entry/configservice.h
+++ b/src/entry/configservice.h
@@ -8,9 +8,9 @@
 
 namespace laburnumspread::entry {
 
-/// Keeps the configuration and the view in force: by one watch, by a periodic
-/// read that bounds how stale a silent watch can leave them, and from peers
-/// that know more.
+/// Keeps this entry's configuration and membership view up to date: from a
+/// store watch, from a periodic read that bounds staleness when the watch goes
+/// silent, and from snapshots of peers that hold a newer revision.
 class ConfigService {
 public:
   using OnChanges = std::function<void(const std::vector<config::Change> &)>;
@@ -22,17 +22,20 @@
   void onChanges(OnChanges Listener) { OnChanges_ = std::move(Listener); }
   void onView(OnView Listener) { OnView_ = std::move(Listener); }
 
-  /// Starts the fibers of the watch and the periodic read.
+  /// Starts the watch fiber and the periodic read fiber.
   void start();
 
-  /// Takes what is in the store now. Returns whether the store answered.
+  /// Reads and applies what has changed in the store. Returns false if the
+  /// store did not answer or if its revision is rejected.
   bool poll();
 
-  /// Takes values from any source.
+  /// Applies stored values from the watch, the periodic read or a peer. They
+  /// are complete up to revision \p Through.
   void applyItems(const std::vector<store::KeyValue> &Items,
                   fleet::Revision Through);
 
-  /// A peer knows a later revision: asks it for the difference.
+  /// Requests a snapshot from \p Peer if its heartbeat reports a newer
+  /// configuration or view.
   void requestNewerConfig(const MemberId &Peer, const peers::Heartbeat &Beat);
   void handle(const peers::Sender &From, const peers::SnapshotRequest &Asked);
   void handle(const peers::Sender &From, const peers::Snapshot &Part);
--- a/src/entry/decisionlog.h
+++ b/src/entry/decisionlog.h
@@ -29,18 +29,18 @@
 };
 std::string_view nameOf(DecisionKind Kind);
 
-/// One thing that the system decided, with its reason.
+/// One automatic decision of the system, with its reason.
 struct Decision {
   std::uint64_t Sequence_ = 0;
   TimePoint At_{};
   DecisionKind Kind_ = DecisionKind::Refusal;
-  /// What it was about: a VM, team, key, wave or entry.
+  /// Name of the VM, team, key, wave or entry concerned.
   std::string Subject_;
   std::string Reason_;
   std::string Detail_;
 };
 
-/// The last decisions of this entry, oldest first. Bounded.
+/// Bounded log of this entry's most recent decisions, oldest first.
 class DecisionLog {
 public:
   static constexpr std::size_t MaxDecisions = 8192;
@@ -48,13 +48,13 @@
   void add(DecisionKind Kind, std::string_view Subject, std::string_view Reason,
            std::string_view Detail);
 
-  /// Decisions after a sequence number; those that are no longer kept are
-  /// missing, see oldestSequence().
+  /// Decisions after a sequence number. Those already evicted are missing; see
+  /// oldestSequence().
   std::vector<Decision> since(std::uint64_t Sequence) const;
   std::uint64_t oldestSequence() const;
   std::uint64_t last() const { return Next_ - 1; }
 
-  /// Called after each addition.
+  /// Sets the listener that is called after each addition.
   void onAdded(std::function<void()> Listener) {
     Listener_ = std::move(Listener);
   }
--- a/src/entry/entrysettings.h
+++ b/src/entry/entrysettings.h
@@ -18,14 +18,14 @@
   std::string Sha256_;
 };
 
-/// Settings of one entry, as its file gives them.
+/// Settings of one entry, read from its settings file.
 struct EntrySettings {
   fleet::EntryName Name_;
   fleet::VmName Vm_;
   fleet::ZoneName Zone_;
   framework::http::Address HttpListen_;
   framework::http::Address PeerListen_;
-  /// Peer addresses of other entries, for a start while the store is down.
+  /// Peer addresses of other entries, used to start while the store is down.
   std::vector<std::string> Seeds_;
   std::vector<framework::http::Address> StoreEndpoints_;
   std::string StorePrefix_;
@@ -33,22 +33,23 @@
   peers::PeerKeys PeerKeys_;
   std::vector<OperatorKey> OperatorKeys_;
   framework::http::ServerLimits HttpLimits_;
-  /// Largest answer of an endpoint that is passed on.
+  /// Maximum size in bytes of an endpoint's answer that is forwarded.
   std::uint64_t AnswerBytes_ = 64ULL * 1024 * 1024;
   framework::log::Format LogFormat_ = framework::log::Format::KeyValue;
   framework::log::Level LogLevel_ = framework::log::Level::Info;
-  /// Added to each letter to another zone, for measurements on one machine.
+  /// Delay in milliseconds added to each message to another zone, for
+  /// measurements on a single machine.
   std::int64_t InjectedPeerDelayMs_ = 0;
-  /// Whether this entry may hold the planner lease.
+  /// Whether this entry may acquire the planner lease.
   bool Planner_ = true;
-  /// Weights of the score by which VMs are moved.
+  /// Weights of the score that ranks VM moves between pools.
   double WeightCloseness_ = 1;
   double WeightMoves_ = 1;
   double WeightBuffer_ = 1;
 };
 
-/// Reads and checks a settings file. The error has one line for each fault:
-/// file, line where it is known, field, reason.
+/// Reads and validates a settings file. The error has one line for each fault:
+/// file, line number if known, field, reason.
 absl::StatusOr<EntrySettings> loadSettings(const std::string &File);
 absl::StatusOr<EntrySettings> readSettings(std::string_view Text,
                                            const std::string &File);
--- a/src/entry/entrystate.h
+++ b/src/entry/entrystate.h
@@ -21,22 +21,22 @@
 
 using membership::MemberId;
 
-/// What was last heard from a peer.
+/// Last heartbeat received from a peer.
 struct PeerInfo {
   peers::Heartbeat Last_;
   std::string Address_;
-  /// Sending time in the peer's clock; older heartbeats that come late are
-  /// left aside.
+  /// Sending time by the peer's clock. Heartbeats that arrive out of order are
+  /// ignored.
   TimePoint SentAt_{};
   TimePoint HeardAt_{};
 };
 
-/// Row name of a team's limit and of an endpoint's slots in the ledger.
+/// Ledger subjects of a team's limit and of an endpoint's slots.
 limits::SubjectName teamSubject(std::string_view Team);
 limits::SubjectName slotsSubject(std::string_view Vm);
 
-/// The tables of one entry. All parts of the entry run on one thread and share
-/// it; each table has one part that changes it.
+/// The tables of one entry, shared by its services. All services run on one
+/// thread, and each table is modified by only one of them.
 struct EntryState {
   EntryState(EntrySettings Settings, membership::Member Self)
       : Settings_(std::move(Settings)), Self_(std::move(Self)),
@@ -48,7 +48,7 @@
   config::ConfigTable Config_;
   config::ChangeLog Changes_;
   membership::View View_;
-  /// Revision at which View_ was written.
+  /// Store revision of the write that produced View_.
   fleet::Revision ViewRevision_;
   membership::ReachabilityTracker Contact_;
   limits::UnitLedger Ledger_;
@@ -59,7 +59,7 @@
   std::unordered_map<MemberId, PeerInfo> Peers_;
   DecisionLog Decisions_;
   framework::metrics::Registry Metrics_;
-  /// Whether some entry holds the planner lease, as far as the watch tells.
+  /// Whether some entry holds the planner lease, according to the watch.
   bool PlannerLeaseSeen_ = false;
   bool Started_ = false;
   bool Leaving_ = false;
@@ -71,7 +71,7 @@
   /// Members of the view other than this entry.
   std::vector<membership::Member> otherMembers() const;
 
-  /// Sends a letter; set by the app when the mesh is up.
+  /// Sends a message to a peer. Set by the app once the peer mesh is listening.
   std::function<void(const MemberId &, const peers::Message &)> Send_;
 };
 
--- a/src/entry/forwarder.h
+++ b/src/entry/forwarder.h
@@ -11,51 +11,51 @@
 namespace laburnumspread::entry {
 
 enum class ForwardStatus {
-  /// The head of an answer has been read.
+  /// The head of the answer has been read.
   Answered,
-  /// The endpoint refused before it started.
+  /// The endpoint refused the request without starting it.
   Refused,
-  /// No byte has left.
+  /// No byte was sent.
   NotSent,
-  /// It may have run; no answer came.
+  /// The request may have run, but no answer arrived.
   Unanswered,
-  /// The caller's own body could not be read to its end.
+  /// The caller's request body could not be read completely.
   CallerFailed
 };
 
 struct ForwardResult {
   ForwardStatus Kind_ = ForwardStatus::NotSent;
-  /// Head and the first part of the body.
+  /// Head and first part of the body.
   framework::http::Response Answer_;
-  /// Whether more of the body is to be read from Connection_.
+  /// Whether the rest of the body must be read from Connection_.
   bool More_ = false;
   std::string Reason_;
   std::shared_ptr<framework::http::Connection> Connection_;
 };
 
-/// A request's body: what has been read of it, and the rest.
+/// A request body: the part already read, and the source of the rest.
 struct RequestBody {
   std::string Prefix_;
-  /// Set if more is to be read from the caller; then a second try is not
-  /// possible.
+  /// Set if the rest must be streamed from the caller. Such a request cannot be
+  /// retried.
   framework::http::Exchange *Rest_ = nullptr;
   std::uint64_t Length_ = 0;
 };
 
-/// Bytes of a body that are held in memory; what is longer streams through.
+/// Bytes of a body that are held in memory. Longer bodies are streamed.
 constexpr std::size_t MaxBufferedBodyBytes = 64 * 1024;
 
-/// Carries requests to endpoints over kept connections.
+/// Forwards requests to endpoints over pooled HTTP connections.
 class Forwarder {
 public:
   Forwarder(boost::asio::io_context &Io, EntryState &State)
       : Io_(Io), State_(State) {}
 
-  /// Sends the request and reads the first part of the answer.
+  /// Sends the request and reads the head and first part of the answer.
   ForwardResult forward(const WorkRequest &Request, const Placement &At,
                         RequestBody &Body, CancelToken &Cancel);
 
-  /// Keeps the connection for later if it can be used again.
+  /// Returns the connection to the pool if it is reusable.
   void releaseConnection(const std::string &Address,
                          std::shared_ptr<framework::http::Connection> Conn);
 
--- a/src/entry/internal/configservice.cpp
+++ b/src/entry/internal/configservice.cpp
@@ -15,16 +15,15 @@
 
 namespace {
 
-/// One read a second bounds how long a watch that has gone silent can hide a
-/// withdrawn key.
+/// Bounds how long a silent watch can hide the withdrawal of a key.
 constexpr Duration PollInterval = 1s;
 constexpr Duration PollTimeout = 900ms;
 constexpr Duration InitialWatchBackoff = 100ms;
 constexpr Duration MaxWatchBackoff = 5s;
 constexpr Duration SnapshotRequestInterval = 200ms;
 
-/// A random part of the pause, so that entries that lost the store together do
-/// not come back to it together.
+/// Between half and all of \p Pause, so that entries that lost the store at the
+/// same time do not reconnect at the same time.
 Duration jittered(Duration Pause) {
   static std::mt19937_64 Random(std::random_device{}());
   return Pause / 2 + Duration(Random() % (Pause.count() / 2 + 1));
@@ -58,7 +57,7 @@
         "the store answered with revision " +
             std::to_string(StoreRevision.value()) + " after " +
             std::to_string(State_.Config_.revision().value()) +
-            "; nothing of it is taken until this entry is restarted");
+            "; its data is ignored until this entry is restarted");
   }
   return true;
 }
@@ -101,8 +100,8 @@
                        return true;
                      });
     State_.Metrics_.counter("store_watch_ended_total").add();
-    // Compacted history is no fault: the periodic read has taken, or will
-    // take, what the watch can no longer tell.
+    // Not an error when the history was compacted: the periodic read delivers
+    // the changes that the watch can no longer send.
     framework::log::debug("store.watch_ended")
         .field("reason", std::string(Ended.message()));
     Pause = Heard ? InitialWatchBackoff : std::min(2 * Pause, MaxWatchBackoff);
--- a/src/entry/internal/decisionlog.cpp
+++ b/src/entry/internal/decisionlog.cpp
@@ -41,8 +41,8 @@
                         std::string(Detail)});
   if (Decisions_.size() > MaxDecisions)
     Decisions_.pop_front();
-  // Refusals come by the thousand when a pool is full; the log of the process
-  // must not become the bottleneck then.
+  // A full pool causes thousands of refusals. Logging them at debug level keeps
+  // the process log from becoming the bottleneck.
   const auto Severity = Kind == DecisionKind::Refusal
                             ? framework::log::Level::Debug
                             : framework::log::Level::Info;
--- a/src/entry/internal/forwarder.cpp
+++ b/src/entry/internal/forwarder.cpp
@@ -7,15 +7,17 @@
 
 namespace {
 
-/// A request that may run only once goes out on a connection whose other end
-/// was heard within this time, or on a new one: a path that has silently
-/// forgotten the connection would take the request and leave its outcome open.
+/// A non-repeatable request reuses a connection only if data was received on it
+/// within this time; otherwise a new one is opened. A network path that has
+/// silently dropped the connection would accept the request and leave its
+/// outcome unknown.
 constexpr Duration MaxIdleForNonRepeatable = 1s;
-/// Repeatable work can be sent again, so older proof will do.
+/// Repeatable requests can be sent again, so a longer idle time is acceptable.
 constexpr Duration MaxIdleForRepeatable = 10s;
 constexpr Duration ConnectTimeout = 1s;
 constexpr std::size_t ReadChunkBytes = 16 * 1024;
-/// Connections that an endpoint takes in all; the entries share them evenly.
+/// Total number of pooled connections to one endpoint, divided evenly among the
+/// entries.
 constexpr std::size_t ConnectionsPerEndpoint = 64;
 
 } // namespace
@@ -39,7 +41,7 @@
 Forwarder::connect(const std::string &Address, TimePoint Deadline) {
   const auto To = http::parseAddress(Address);
   if (!To)
-    return absl::InvalidArgumentError("bad address " + Address);
+    return absl::InvalidArgumentError("invalid endpoint address " + Address);
   ConnectionPtr Conn = http::Connection::make(Io_);
   absl::Status Status =
       Conn->connect(*To, std::min(Deadline, State_.now() + ConnectTimeout));
@@ -58,8 +60,8 @@
   if (Request.Key_)
     Head.Headers_.add("Idempotency-Key", Request.Key_->Text_);
   Head.Headers_.add("Request-Team", Request.Team_.str());
-  // The endpoint must not start, and must stop, work after this time: the
-  // permits that stand behind it are others' then.
+  // The endpoint must not start work after this time and must stop running
+  // work: the permits behind it may then be held by other requests.
   Head.Headers_.add(
       "Task-Lease-Until",
       std::to_string(framework::clock::toMillis(Request.Deadline_)));
@@ -125,11 +127,11 @@
     }
     Result.Connection_ = std::move(*Fresh);
   }
-  // A process that was paused between the permit and here finds the deadline
-  // over; its permits may be others' by now.
+  // If this process was paused after it acquired the permits, the deadline may
+  // have passed, and other requests may hold the permits by now.
   if (State_.now() >= Request.Deadline_ || Cancel.cancelled() ||
       Cancel.preempted()) {
-    Result.Reason_ = "too late to send";
+    Result.Reason_ = "not sent: deadline passed or request cancelled";
     return Result;
   }
   if (Request.Repeatable_)
--- a/src/entry/internal/membershipservice.cpp
+++ b/src/entry/internal/membershipservice.cpp
@@ -19,18 +19,19 @@
 
 constexpr Duration ViewCheckInterval = 250ms;
 constexpr Duration WriteTimeout = 2s;
-/// Heartbeats after which all rows of use are sent anew.
+/// All usage rows are sent again once per this number of heartbeats.
 constexpr std::uint64_t FullUsageInterval = 20;
-/// Rows of use may take this much of the 18 KB/s that control may cost, both
-/// ways counted.
+/// Share of usage rows in the 18 KB/s budget for control traffic, counting both
+/// directions.
 constexpr std::size_t UsageBytesPerSecond = 5000;
 constexpr std::size_t HeartbeatsPerSecond = 2;
-/// Measured: a row of names as long as the examples'.
+/// Encoded size, measured for names as long as those in the examples.
 constexpr std::size_t BytesPerRow = 25;
 constexpr std::size_t MinUsageRows = 4;
 constexpr Duration LeaveCheckInterval = 50ms;
 constexpr Duration StoreOutageTolerance = 4s;
-/// Rows about peers that are in no view are dropped after this silence.
+/// Peers that are not in the view are forgotten after this time without a
+/// heartbeat.
 constexpr Duration PeerExpiry = 60s;
 
 std::string textOf(const MemberId &Id) {
@@ -80,9 +81,9 @@
   return Beat;
 }
 
-/// A row for every team in every heartbeat would be 10 KB at the design size.
-/// The rows share what the bound on control traffic leaves; a heartbeat that is
-/// lost leaves rows stale until all are marked again.
+/// Adds as many changed usage rows as the control traffic budget allows: a row
+/// for every team in every heartbeat would take 10 KB at the design size. Rows
+/// of a lost heartbeat stay stale until all rows are sent again.
 void MembershipService::addPoolUsage(peers::Heartbeat &Into) {
   if (HeartbeatsSent_++ % FullUsageInterval == 0)
     State_.Usage_.markAllChanged();
@@ -110,7 +111,7 @@
     for (const Member &Peer : State_.otherMembers())
       sendHeartbeat(Peer.Id_, Beat);
     if (!State_.isMember()) {
-      // Not in the view, or none known yet: ask whoever may be there.
+      // Not a member yet: contact the configured seeds.
       for (const std::string &Seed : State_.Settings_.Seeds_)
         sendHeartbeat({fleet::EntryName("@" + Seed), {}}, Beat);
     }
@@ -136,13 +137,14 @@
     Use.push_back({Item.Pool_, Item.Team_, {Item.Running_, Item.Waiting_}});
   State_.Usage_.updatePeerRows(From.Id_, Use);
   Config_.requestNewerConfig(From.Id_, Beat);
-  // A newcomer that is in no view hears from nobody unless it is answered.
+  // Members send heartbeats only to members, so answer an entry that is about
+  // to join.
   if (!State_.View_.find(From.Id_))
     sendHeartbeat(From.Id_, makeHeartbeat());
 }
 
-/// A peer that is in no view and says nothing any more is dropped, and what it
-/// ran no longer counts in the shares.
+/// Drops silent peers that are not in the view, and their usage from the fair
+/// shares.
 void MembershipService::forgetSilentPeers() {
   std::erase_if(State_.Peers_, [&](const auto &Row) {
     if (State_.View_.find(Row.first) ||
@@ -153,7 +155,7 @@
   });
 }
 
-// Changes of the view
+// View changes
 
 absl::Status MembershipService::changeView(const Change &Make) {
   if (State_.ViewRevision_.value() == 0)
@@ -165,13 +167,14 @@
   Txn.Compares_.push_back({Config_.viewKey(), State_.ViewRevision_});
   Txn.Puts_.push_back({Config_.viewKey(), membership::toText(*Next)});
   const auto Result = Store_.commit(Txn, State_.now() + WriteTimeout);
-  // Whether it took effect, was beaten or its answer was lost: the next read
-  // shows what is agreed.
+  // Whether the write took effect, lost to another one or its answer was lost:
+  // reading the store shows the agreed view.
   Config_.poll();
   if (!Result.ok())
     return Result.status();
-  return Result->Succeeded_ ? absl::OkStatus()
-                            : absl::AbortedError("another change was first");
+  return Result->Succeeded_
+             ? absl::OkStatus()
+             : absl::AbortedError("view was changed concurrently");
 }
 
 absl::Status MembershipService::createInitialView() {
@@ -198,8 +201,10 @@
           .field("by", textOf(Item.Id_));
       return;
     }
-    // A newer run on the same VM proves that the former one is gone.
-    declareStopped(Item.Id_, "a newer run has started on its VM").IgnoreError();
+    // A newer incarnation on the same VM proves that the former one has
+    // stopped.
+    declareStopped(Item.Id_, "replaced by a newer incarnation on its VM")
+        .IgnoreError();
     return;
   }
   const absl::Status Joined = changeView([this](const View &Now) {
@@ -213,8 +218,8 @@
 
 absl::Status MembershipService::declareStopped(const MemberId &Gone,
                                                const std::string &Why) {
-  // Its endpoints may work on until the last task lease that it could have
-  // given; nothing of its may be used before.
+  // Endpoints may keep running its requests until the last task lease that it
+  // could have granted ends. Its units must not be reused before.
   const TimePoint Reusable = State_.now() + membership::MaxTaskLease +
                              framework::clock::ClockSkewMargin;
   const absl::Status Done = changeView([&](const View &Now) {
@@ -240,8 +245,8 @@
 void MembershipService::settleIfDue() {
   if (State_.View_.settled() || !State_.isMember())
     return;
-  // One member writes: the first by name that is in touch. If two disagree on
-  // who that is, the compare-and-swap lets one of them win.
+  // Only the first member by name that is in touch writes. If two members
+  // disagree on which one that is, the compare-and-swap lets one succeed.
   for (const Member &Item : State_.View_.Members_)
     if (Item.Id_ < State_.Self_.Id_ &&
         State_.Contact_.isPeerReachable(Item.Id_, State_.now()))
@@ -274,8 +279,8 @@
 
 void MembershipService::leave(TimePoint Deadline) {
   State_.Leaving_ = true;
-  // Without the store nothing can be handed over; the next run on this VM
-  // removes this one. A store that is slow for a moment is waited for.
+  // Leaving needs the store. If it stays unreachable, the next incarnation on
+  // this VM removes this one; a short outage is waited for.
   const TimePoint Patience = State_.now() + StoreOutageTolerance;
   while (State_.isMember() && State_.now() < Deadline &&
          (State_.Contact_.isStoreReachable(State_.now()) ||
@@ -286,7 +291,7 @@
         return membership::withLeaving(Now, State_.Self_.Id_);
       }).IgnoreError();
     else if (State_.View_.settled() || State_.View_.owners().empty())
-      // Everybody has what was this entry's.
+      // The other members have taken over everything this entry owned.
       changeView([this](const View &Now) {
         return membership::withRemoved(Now, State_.Self_.Id_, State_.now());
       }).IgnoreError();
@@ -295,7 +300,7 @@
   HasLeft_ = true;
 }
 
-// What the fleet has in force
+// Configuration rollout and draining
 
 MembershipService::ConfigRollout
 MembershipService::configRollout(fleet::Revision Wanted) const {
--- a/src/entry/internal/placementloans.cpp
+++ b/src/entry/internal/placementloans.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-// The part of PlacementService that lends what this entry owns and borrows
-// what it lacks.
+// The part of PlacementService that lends permits and slots to peers and
+// borrows them.
 
 namespace laburnumspread::entry {
 
@@ -15,23 +15,24 @@
 
 namespace {
 
-/// A wish is repeated this often and lapses at the owner a little later, so
-/// that a lost one costs one repetition and a stale one gets nothing.
+/// Borrow requests are repeated at this interval and expire at the owner a
+/// little later, so that a lost request costs one interval and a stale one gets
+/// no loan.
 constexpr Duration BorrowRequestInterval = 100ms;
 constexpr Duration BorrowRequestTtl = 300ms;
-/// A loan that nobody has used for this long goes home. Longer than the pause
-/// between two requests of a steady caller, so that skewed load does not
-/// borrow anew for each request.
+/// Loans unused for this long are returned. Longer than the gap between two
+/// requests of a steady caller, so that skewed load does not borrow again for
+/// each request.
 constexpr Duration MaxLoanIdleTime = 100ms;
-/// A request needs a permit and a slot. Of either kind an entry asks for no
-/// more than it has of the other, and this many beyond so that it can start
-/// from nothing. Asking for all it could use of both let permits lie idle
-/// where slots were wanting, and the other way round.
+/// A request needs a permit and a slot. An entry borrows at most as many of one
+/// as it has free of the other, plus this number so that it can start with
+/// none. Borrowing for all waiting requests left permits idle where slots were
+/// missing, and vice versa.
 constexpr std::uint32_t BorrowHeadroom = 2;
-/// A loan is asked for beyond the deadline of the request that needs it, so
-/// that later requests, with later deadlines, can use it too. Without this
-/// each loan served one round of requests and then lay idle until it went
-/// home (docs/design/limits.md has the figures).
+/// Loans are requested for this long beyond the deadline of the request that
+/// needs them, so that later requests with later deadlines can reuse them.
+/// Without it, each loan served one round of requests and then lay idle until
+/// it was returned (measurements in docs/design/limits.md).
 constexpr Duration LoanReuseMargin = 10s;
 constexpr std::uint32_t MaxLoansPerRequest = 64;
 
@@ -148,8 +149,8 @@
     ++Wish.Count_;
   }
   for (auto &[Key, Wish] : Wishes) {
-    // Shared out over the peers: asking each for all would take in many times
-    // what is needed and keep it from others.
+    // Divided among the peers: requesting the full count from each would borrow
+    // many times what is needed and withhold it from other entries.
     Wish.Count_ =
         std::min(Wish.Count_, freePermits(Wish.Team_) + BorrowHeadroom);
     Wish.Count_ = (Wish.Count_ + Peers.size() - 1) / Peers.size();
--- a/src/entry/internal/placementservice.cpp
+++ b/src/entry/internal/placementservice.cpp
@@ -17,8 +17,8 @@
 namespace {
 
 constexpr Duration TickInterval = 50ms;
-/// An urgent request that has waited this long may stop batch work. Leaves
-/// most of the 2.7 s within which urgent work has to start.
+/// Waiting time after which an urgent request preempts batch work. Leaves most
+/// of the 2.7 s within which urgent work must start.
 constexpr Duration UrgentWaitBeforePreemption = 500ms;
 constexpr Duration MinRetryAfter = 1s;
 
@@ -53,7 +53,7 @@
   return Declared ? Declared->Spec_.Share_ : 1;
 }
 
-// Arrival
+// Admission
 
 std::optional<Problem>
 PlacementService::checkAdmission(const WorkRequest &Request) {
@@ -71,18 +71,18 @@
                    {}};
   if (!State_.Endpoints_.anyHealthy(Request.Pool_))
     return Problem{ProblemCode::NoEndpoint,
-                   "no endpoint of the pool takes work now",
+                   "no endpoint of the pool is accepting work",
                    fleet::Outcome::NotRun, routing::BaseEjectionTime};
   const sharing::PoolQueue &Queue = poolState(Request.Pool_).Queue_;
   const std::uint32_t Slots = State_.Endpoints_.openSlots(Request.Pool_);
-  // Only the waiters of this team count: the others do not hold up a team
-  // that is below its share, and this is to refuse the hopeless alone.
+  // Counts only this team's waiting requests: other teams do not delay a team
+  // below its share, and only requests that cannot make it are to be refused.
   const Duration Wait = State_.Estimates_.estimatedWait(
       Request.Pool_, Queue.waiting(Request.Team_), Slots);
   if (Request.Class_ != fleet::RequestClass::Urgent &&
       State_.now() + Wait > Request.Deadline_)
     return Problem{ProblemCode::WaitExceedsDeadline,
-                   "the team's queue is longer than the time to the deadline",
+                   "the expected waiting time exceeds the deadline",
                    fleet::Outcome::NotRun, std::max(Wait, MinRetryAfter)};
   return std::nullopt;
 }
@@ -149,7 +149,7 @@
   Item->Waiter_->signal();
 }
 
-// Choice
+// Dispatch
 
 void PlacementService::dispatchWaiting(const PoolName &Pool) {
   PoolState &Row = poolState(Pool);
@@ -176,7 +176,7 @@
     requestPermitLoans();
 }
 
-/// Returns whether to go on choosing.
+/// Returns whether to continue with the next choice.
 bool PlacementService::tryStart(const PoolName &Pool, const Ticket &Chosen,
                                 std::set<TeamName> &Blocked) {
   const auto Found = Tickets_.find(Chosen.Id_);
@@ -199,7 +199,7 @@
       Random_);
   if (!Endpoint) {
     poolState(Pool).WaitingForSlot_ = true;
-    // A request with endpoints to avoid must not hold up the others.
+    // Requests that avoid certain endpoints must not block other teams.
     if (Item->Avoid_.empty())
       return false;
     Blocked.insert(Chosen.Team_);
@@ -257,7 +257,7 @@
     Preemptible_.push_back({Request.Pool_, &Cancel});
 }
 
-// Upkeep
+// Periodic work
 
 void PlacementService::preemptForUrgent() {
   for (auto &[Name, Row] : Pools_) {
@@ -273,7 +273,7 @@
     CancelToken *Cancel = Victim->Cancel_;
     Preemptible_.erase(Victim);
     State_.Decisions_.add(DecisionKind::Preemption, Pool.str(), "urgent-waits",
-                          "batch work is stopped");
+                          "batch request preempted");
     Cancel->preempt();
   }
 }
--- a/src/entry/internal/plannerservice.cpp
+++ b/src/entry/internal/plannerservice.cpp
@@ -18,19 +18,20 @@
 namespace {
 
 constexpr Duration TickInterval = 500ms;
-/// The pause is at least so many times the last tick's decisions, which keeps
-/// them below 1% of a core: at 11,000 VMs with a wave a tick takes 9 ms.
+/// The pause between ticks is at least this multiple of the last tick's
+/// planning time, which keeps planning below 1% of a core. A tick takes 9 ms
+/// with 11,000 VMs and a wave.
 constexpr int MinPauseToTickRatio = 100;
-/// While another entry is seen to hold the lease, one is tried for only this
-/// often: for the case that the watch missed its end.
+/// Interval of attempts to acquire the lease while another entry seems to hold
+/// it, in case the watch missed the end of that lease.
 constexpr Duration HeldLeaseRetryInterval = 30s;
 constexpr Duration LeaseRenewInterval = 1500ms;
 constexpr std::int64_t LeaseTtlSeconds = 5;
 constexpr Duration CallTimeout = 2s;
 constexpr Duration ProbeTimeout = 1s;
 constexpr Duration RebootRequestInterval = 2s;
-/// Lists in a row that must lack a member's VM, so that one that is cut short
-/// removes nobody.
+/// Number of consecutive platform lists that must lack a member's VM before the
+/// member is removed, so that a single truncated list removes nobody.
 constexpr int MissingListsBeforeRemoval = 5;
 
 } // namespace
@@ -111,9 +112,9 @@
 // Ticks
 
 void PlannerService::tick() {
-  // The state seen here lags behind this planner's own writes. Deciding before
-  // they have come back would, for one, take a second VM for a place in the
-  // budget that the first already has.
+  // The local state lags behind this planner's own writes. Planning before they
+  // are applied could, for example, use the same place in the availability
+  // budget for two VMs.
   if (State_.Config_.revision() < LastWriteRevision_)
     return;
   if (!Directory_.refresh(State_.now() + CallTimeout).ok())
@@ -162,7 +163,7 @@
     const std::string &Name,
     const std::function<absl::Status(std::optional<T> &)> &Edit) {
   if (!holdsLease())
-    return absl::FailedPreconditionError("not the planner");
+    return absl::FailedPreconditionError("planner lease is not held");
   const auto Done =
       Writer_.template change<T>(Name, Edit, false, State_.now() + CallTimeout,
                                  {{Config_.plannerKey(), LeaseRevision_}});
@@ -252,7 +253,7 @@
       Step.From_.str() + " to " + Step.To_.str() + ": " + Step.Reason_);
 }
 
-// Probes and lost entries
+// Probes and entries of deleted VMs
 
 void PlannerService::probe(const std::string &Name) {
   const auto *Machine = State_.Config_.tables().find<Vm>(Name);
@@ -292,14 +293,14 @@
     }
     if (State_.Contact_.isPeerReachable(Member.Id_, State_.now()))
       continue;
-    // Only a VM that the platform has listed before can be missing from it.
+    // Only VMs that the platform has listed before count as missing.
     const auto Row = MissingListCounts_.find(Member.Id_);
     if (Row == MissingListCounts_.end() ||
         ++Row->second < MissingListsBeforeRemoval)
       continue;
     MissingListCounts_.erase(Row);
     Membership_
-        .declareStopped(Member.Id_, "its VM is gone from the platform's list")
+        .declareStopped(Member.Id_, "the platform no longer lists its VM")
         .IgnoreError();
     return;
   }
--- a/src/entry/internal/requestrunner.cpp
+++ b/src/entry/internal/requestrunner.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::size_t ReadChunkBytes = 16 * 1024;
-/// Endpoints that are tried for one request before it is given up.
+/// Maximum number of endpoints tried for one request.
 constexpr std::size_t MaxAttempts = 6;
 constexpr Duration HomesUnreachableRetryAfter = std::chrono::seconds(2);
 
@@ -41,7 +41,7 @@
   return Answer;
 }
 
-/// Fields of an endpoint's answer that concern only the hop to the endpoint.
+/// Whether a header field applies only to the connection to the endpoint.
 bool isHopField(std::string_view Name) {
   for (std::string_view Hop :
        {"connection", "transfer-encoding", "content-length", "keep-alive",
@@ -71,7 +71,7 @@
 
 } // namespace
 
-/// One request on its way.
+/// A request in progress.
 struct RequestRunner::ActiveRequest {
   http::Exchange &Call_;
   const WorkRequest &Request_;
@@ -81,7 +81,7 @@
   std::optional<Reservation> Reservation_;
   std::vector<routing::EndpointIndex> TriedEndpoints_;
   bool Finished_ = false;
-  /// Set once a byte may have reached an endpoint that did not refuse.
+  /// Set once an endpoint may have received the request without refusing it.
   bool MayHaveRun_ = false;
 };
 
@@ -96,7 +96,8 @@
   Call.reply(problemAnswer(Why));
 }
 
-/// Ends the request with a problem and frees its key if nothing has left.
+/// Ends the request with a problem. Releases its idempotency key if it did not
+/// run.
 void RequestRunner::fail(ActiveRequest &Active, Problem Why) {
   Active.Finished_ = true;
   if (Active.MayHaveRun_)
@@ -163,7 +164,7 @@
     return false;
   case ReservationOutcome::Unknown:
     fail(Active, {ProblemCode::OutcomeUnknown,
-                  "the records of the time when the key was minted are lost",
+                  "the records from the time when the key was created are lost",
                   fleet::Outcome::Unknown,
                   {}});
     return false;
@@ -172,7 +173,7 @@
     break;
   }
   fail(Active, {ProblemCode::HomesUnreachable,
-                "most entries that remember this key cannot be reached",
+                "a majority of the entries that store this key is unreachable",
                 fleet::Outcome::NotRun, HomesUnreachableRetryAfter});
   return false;
 }
@@ -202,9 +203,9 @@
   if (Found.State_ == RecordState::Ran)
     return refuse(Active.Call_,
                   {ProblemCode::AlreadyRan,
-                   "it has run with status " +
+                   "the request ran with status " +
                        std::to_string(Found.Response_.Status_) +
-                       "; its answer was too large to keep",
+                       ", but its answer was too large to store",
                    fleet::Outcome::Ran,
                    {}},
                   Subject);
@@ -212,7 +213,7 @@
   if (Found.State_ == RecordState::Reserved && Left > Duration(0))
     return refuse(Active.Call_,
                   {ProblemCode::InProgress,
-                   "another attempt with this key is under way",
+                   "another attempt with this key is in progress",
                    fleet::Outcome::Unknown, Left},
                   Subject);
   refuse(Active.Call_,
@@ -230,10 +231,11 @@
   if (Active.TriedEndpoints_.size() >= MaxAttempts ||
       State_.now() >= Active.Request_.Deadline_ || Active.Cancel_.cancelled())
     return false;
-  // The rest of a streamed body has been read and cannot be sent again.
+  // A streamed body has already been consumed and cannot be sent again.
   if (Active.Body_.Rest_ && Result.Kind_ != ForwardStatus::NotSent)
     return false;
-  // Active that did not start adds no load, so it needs no budget.
+  // Requests that were not started added no load, so retrying them takes
+  // nothing from the retry budget.
   return NotStarted || (Active.Request_.Repeatable_ &&
                         budgetOf(Active.Request_.Pool_).tryConsume());
 }
@@ -303,7 +305,7 @@
                 Duration(std::chrono::seconds(1))});
 }
 
-/// Records the answer with the key's homes before the caller sees it.
+/// Records the answer at the key's homes before it is sent to the caller.
 void RequestRunner::recordAnswer(ActiveRequest &Active,
                                  const ForwardResult &Result) {
   State_.Metrics_.counter("requests_total{outcome=\"ran\"}").add();
@@ -348,8 +350,8 @@
   std::uint64_t Sent = 0;
   for (bool More = true; More || !Part.empty();) {
     Sent += Part.size();
-    // A caller must never take a part for the whole: the connection breaks
-    // before the announced end.
+    // Abort the connection so that the caller cannot mistake a truncated answer
+    // for a complete one.
     if (Sent > Limit || !Active.Call_.write(Part).ok())
       return Active.Call_.abort();
     Part.clear();
@@ -376,8 +378,7 @@
   if (readPrefix(Active) && reserve(Active)) {
     budgetOf(Request.Pool_).requestStarted();
     if (!Active.Body_.Rest_) {
-      // The exchange may be over before the caller goes; the token is reached
-      // only through it.
+      // Cleared below: the exchange may outlive the request and its token.
       Call.onCallerGone([&Active] { Active.Cancel_.cancel(); });
     }
     while (!Active.Finished_) {
--- a/src/entry/internal/reservationservice.cpp
+++ b/src/entry/internal/reservationservice.cpp
@@ -11,9 +11,11 @@
 
 namespace {
 
-/// A home that has not answered by then counts as hung; the two others decide.
+/// A home that has not answered within this time counts as hung; the two others
+/// decide.
 constexpr Duration ReplyTimeout = 400ms;
-/// While a view changes, homes answer ViewMismatch or NotReady for a moment.
+/// Delay between attempts. Homes briefly answer ViewMismatch or NotReady while the
+/// view changes.
 constexpr Duration InitialRetryDelay = 10ms;
 constexpr Duration MaxRetryDelay = 320ms;
 constexpr Duration RetryTimeout = 2s;
@@ -51,8 +53,8 @@
       std::min(Request.Deadline_, State_.now() + RetryTimeout);
   for (int Try = 1;; ++Try) {
     ReservationResult Result = attemptReservation(Request, Fingerprint);
-    // The first attempt may be about to end, or its end may be on its way to
-    // the homes: its answer is better than "in progress".
+    // The earlier attempt may finish within the retry time. Its answer is more
+    // useful to the caller than "in progress".
     const bool UnderWay =
         Result.Verdict_ == ReservationOutcome::Duplicate &&
         Result.Found_.State_ == idempotency::RecordState::Reserved &&
@@ -64,9 +66,9 @@
   }
 }
 
-/// Attempts with one key that start together each take a home from the others
-/// and all give up. With equal pauses they would do so again and again; random
-/// ones that grow let one of them through.
+/// Randomized exponential backoff. Concurrent attempts with the same key can
+/// each reserve some homes and all fail; with equal delays they would do so
+/// repeatedly.
 Duration ReservationService::retryDelay(int Try) {
   const Duration Most =
       std::min(InitialRetryDelay * (1 << std::min(Try, 10)), MaxRetryDelay);
--- a/src/entry/membershipservice.h
+++ b/src/entry/membershipservice.h
@@ -8,43 +8,45 @@
 
 namespace laburnumspread::entry {
 
-/// Time between two heartbeats to each peer.
+/// Interval between heartbeats to each peer.
 constexpr framework::clock::Duration HeartbeatInterval =
     std::chrono::milliseconds(500);
 
-/// Brings this entry into the view and out of it, settles views, and exchanges
-/// heartbeats.
+/// Adds this entry to the membership view and removes it, settles view changes,
+/// and exchanges heartbeats.
 class MembershipService {
 public:
   MembershipService(EntryState &State, store::EtcdStore &Store,
                     ConfigService &Config)
       : State_(State), Store_(Store), Config_(Config) {}
 
-  /// Starts the fibers of heartbeats and of changes to the view.
+  /// Starts the heartbeat fiber and the view fiber.
   void start();
 
-  /// Takes a view that has come into force.
+  /// Switches to a view that has been read from the store or a peer.
   void adopt(const membership::View &Next);
 
   void handle(const peers::Sender &From, const peers::Heartbeat &Beat);
 
-  /// Leaves for good: hands everything over, waits until the others have it or
-  /// \p Deadline, then takes this entry out of the view.
+  /// Leaves the fleet permanently: marks this entry as leaving, waits until the
+  /// other entries have taken over its units and records or until \p Deadline,
+  /// then removes it from the view.
   void leave(TimePoint Deadline);
 
-  /// Declares that a member's VM has stopped, on an operator's or the
-  /// platform's word. \p Why is shown in the decisions.
+  /// Removes a member whose VM has stopped, as reported by an operator or the
+  /// platform. \p Why is recorded in the decision log.
   absl::Status declareStopped(const MemberId &Gone, const std::string &Why);
 
-  /// Entries that have a revision in force, and those still awaited.
+  /// Entries that have applied a configuration revision, and those that have
+  /// not.
   struct ConfigRollout {
     std::vector<std::string> Applied_;
     std::vector<std::string> Awaited_;
   };
   ConfigRollout configRollout(fleet::Revision Wanted) const;
 
-  /// Whether every member has the revision in force and reports no use of the
-  /// VM's slots under it.
+  /// Progress of draining a VM: slots still in use, and members that have not
+  /// applied the revision under which the VM is leaving.
   struct DrainState {
     std::uint32_t Busy_ = 0;
     std::vector<std::string> Awaited_;
@@ -65,7 +67,8 @@
   absl::Status createInitialView();
   void joinOrReplace();
   void settleIfDue();
-  /// What all peers are told; only the echo differs.
+  /// The part of a heartbeat that is equal for all peers; sendHeartbeat() adds
+  /// the echoed time.
   peers::Heartbeat makeHeartbeat() const;
   void addPoolUsage(peers::Heartbeat &Into);
   void sendHeartbeat(const MemberId &To, peers::Heartbeat Beat) const;
--- a/src/entry/placementservice.h
+++ b/src/entry/placementservice.h
@@ -11,36 +11,39 @@
 
 namespace laburnumspread::entry {
 
-/// Gives waiting requests a team permit and an endpoint's slot, in the order
-/// of the shares; lends what this entry owns to peers and borrows what it
-/// lacks. Permits travel, requests do not.
+/// Assigns waiting requests a team permit and an endpoint slot in fair-share
+/// order. Lends permits and slots that this entry owns to peers and borrows
+/// those it lacks. Requests never move between entries.
 class PlacementService {
 public:
   explicit PlacementService(EntryState &State);
 
-  /// Starts the fiber that repeats wishes, expires waits and returns loans.
+  /// Starts the fiber that repeats borrow requests, ticks the ledger and
+  /// returns idle loans.
   void start();
 
-  /// Waits until the request may run. Refuses at once what cannot run in time.
+  /// Waits until the request may run. Requests that cannot run before their
+  /// deadline are refused immediately. On error, \p Refusal holds the reason.
   absl::StatusOr<Placement> place(const WorkRequest &Request,
                                   CancelToken &Cancel,
                                   std::span<const routing::EndpointIndex> Avoid,
                                   Problem &Refusal);
 
-  /// Gives back what a placement held and notes how the exchange went.
+  /// Releases the permit and the slot of a placement and records the outcome of
+  /// the exchange.
   void finish(const WorkRequest &Request, const Placement &Held,
               routing::ExchangeResult How, Duration RunTime,
               const CancelToken &Cancel);
 
-  /// The request runs now. Repeatable batch work may be stopped for urgent
-  /// work by its token, until finish().
+  /// Marks the request as running. Until finish(), repeatable batch work may be
+  /// preempted through \p Cancel in favor of urgent work.
   void markRunning(const WorkRequest &Request, CancelToken &Cancel);
 
   void handle(const peers::Sender &From, const peers::BorrowRequest &Wish);
   void handle(const peers::Sender &From, const peers::LoanGrant &Granted);
   void handle(const peers::Sender &From, const peers::LoanReturn &Returned);
 
-  /// Configuration or view have changed.
+  /// Reacts to a change of the configuration or the view.
   void refresh();
 
   struct QueueLength {
@@ -66,7 +69,7 @@
     explicit PoolState(std::uint32_t Limit) : Queue_(Limit) {}
     sharing::PoolQueue Queue_;
     TimePoint BorrowRequestedAt_{};
-    /// Set while requests wait for want of a slot.
+    /// Set while requests are waiting because no slot is free.
     bool WaitingForSlot_ = false;
   };
 
@@ -93,7 +96,7 @@
   void requestSlotLoans(const fleet::PoolName &Pool, PoolState &Row);
   void requestTeamLoans(const fleet::TeamName &Team, std::uint32_t Count,
                         TimePoint Until);
-  /// Own and borrowed units that nobody uses.
+  /// Number of owned and borrowed units that are not in use.
   std::uint32_t freePermits(const fleet::TeamName &Team) const;
   std::uint32_t freeSlots(const fleet::PoolName &Pool) const;
   void serveTeamBorrowRequests(const fleet::TeamName &Team);
@@ -108,8 +111,8 @@
   std::map<sharing::TicketId, WaitingRequestPtr> Tickets_;
   std::map<fleet::TeamName, std::vector<sharing::BorrowRequest>>
       TeamBorrowRequests_;
-  /// Teams whose requests wait for want of a permit, and since when a wish for
-  /// one was last sent.
+  /// Teams whose requests wait for a permit, and when a borrow request for one
+  /// was last sent.
   std::map<fleet::TeamName, TimePoint> TeamBorrowRequestedAt_;
   std::vector<Preemptible> Preemptible_;
   std::uint64_t NextTicket_ = 0;
--- a/src/entry/plannerservice.h
+++ b/src/entry/plannerservice.h
@@ -10,9 +10,9 @@
 
 namespace laburnumspread::entry {
 
-/// Runs the planners while this entry holds the planner lease. Any entry may;
-/// every write is guarded by the lease's record, so that one that was paused
-/// and has lost the lease changes nothing when it wakes.
+/// Runs the wave and move planners while this entry holds the planner lease,
+/// which any entry may acquire. Every write is conditional on the lease record,
+/// so a process that was paused and lost the lease cannot write anything.
 class PlannerService {
 public:
   using Writer = config::ObjectWriter<store::EtcdStore>;
@@ -24,7 +24,7 @@
   void start();
 
   bool holdsLease() const { return LeaseRevision_.value() > 0; }
-  /// Duration of the last tick's decisions, without I/O.
+  /// Time spent on planning in the last tick, without I/O.
   framework::clock::Duration lastTick() const { return LastTick_; }
 
 private:
@@ -55,15 +55,14 @@
   pools::MovePlanner Moves_;
   std::map<std::string, maintenance::ProbeState> Probes_;
   std::map<std::string, TimePoint> RebootRequestedAt_;
-  /// Members whose VM was on the list once, and in how many lists in a row it
-  /// has been missing since.
+  /// Members whose VM has been listed by the platform, with the number of
+  /// consecutive lists that lacked it since.
   std::map<MemberId, int> MissingListCounts_;
   std::int64_t Lease_ = 0;
   fleet::Revision LeaseRevision_;
   TimePoint LeaseRenewedAt_{};
   TimePoint LeaseAttemptedAt_{};
-  /// Revision of this planner's last write: it decides nothing on an older
-  /// state.
+  /// Revision of this planner's last write. It does not plan on older state.
   fleet::Revision LastWriteRevision_;
   framework::clock::Duration LastTick_{0};
 };
--- a/src/entry/requestrunner.h
+++ b/src/entry/requestrunner.h
@@ -11,7 +11,8 @@
 
 namespace laburnumspread::entry {
 
-/// Takes one admitted request from its caller to its answer.
+/// Executes admitted requests: reserves the idempotency key, places and
+/// forwards the request, retries, and answers the caller.
 class RequestRunner {
 public:
   RequestRunner(EntryState &State, PlacementService &Placements,
@@ -19,20 +20,21 @@
       : State_(State), Placements_(Placements), Reservations_(Reservations),
         Forward_(Forward) {}
 
-  /// Whether the key that the request came with is still granted; asked again
-  /// just before it is sent.
+  /// Returns whether the access key of the request is still valid. Checked
+  /// again just before the request is forwarded.
   using KeyValidator = std::function<bool()>;
 
-  /// Runs the request and answers the caller, always.
+  /// Runs the request and answers the caller in every case.
   void run(framework::http::Exchange &Call, const WorkRequest &Request,
            const KeyValidator &KeyIsValid);
 
-  /// Ends a waiting request, or a running repeatable one, of this entry.
+  /// Cancels waiting and running repeatable requests of this entry with this
+  /// name. Returns false if there are none.
   bool cancel(const idempotency::RecordName &Name);
 
   std::size_t inFlight() const { return InFlight_; }
 
-  /// Answers with a problem document.
+  /// Answers with a problem document and records the refusal of \p Subject.
   void refuse(framework::http::Exchange &Call, const Problem &Why,
               std::string_view Subject);
 
--- a/src/entry/requesttypes.h
+++ b/src/entry/requesttypes.h
@@ -18,7 +18,7 @@
 using framework::clock::Duration;
 using framework::clock::TimePoint;
 
-/// Why a request was refused or failed. The caller reads it as `code`.
+/// Why a request was refused or failed. Sent to the caller as `code`.
 enum class ProblemCode {
   BadRequest,
   MethodNotAllowed,
@@ -60,19 +60,19 @@
   Forbidden
 };
 std::string_view nameOf(ProblemCode Code);
-/// HTTP status that goes with a code.
+/// HTTP status of a code.
 int statusOf(ProblemCode Code);
 
-/// A refusal or failure, said truthfully.
+/// A refusal or failure, sent to the caller as a problem document.
 struct Problem {
   ProblemCode Code_ = ProblemCode::BadRequest;
   std::string Detail_;
   fleet::Outcome Outcome_ = fleet::Outcome::NotRun;
-  /// When a retry may help; zero when it cannot.
+  /// Delay after which a retry may succeed; zero if it cannot.
   Duration RetryAfter_{0};
 };
 
-/// A caller's request after admission.
+/// A caller's request that has passed authentication and validation.
 struct WorkRequest {
   fleet::PoolName Pool_;
   fleet::TeamName Team_;
@@ -80,20 +80,20 @@
   fleet::Size Size_;
   TimePoint Deadline_{};
   bool Repeatable_ = true;
-  /// Given for all non-repeatable requests.
+  /// Always set for non-repeatable requests.
   std::optional<idempotency::IdempotencyKey> Key_;
   std::string ContentType_;
 };
 
-/// Ends a request from outside: its caller has gone, has cancelled it, or it
-/// has to make room.
+/// Stops a request from outside: the caller disconnected or cancelled it, or it
+/// is preempted.
 class CancelToken {
 public:
   void cancel() {
     Cancelled_ = true;
     notify();
   }
-  /// Stops the present run; the request waits for another slot.
+  /// Stops the current attempt; the request waits for another slot.
   void preempt() {
     Preempted_ = true;
     notify();
@@ -101,7 +101,8 @@
   bool cancelled() const { return Cancelled_; }
   bool preempted() const { return Preempted_; }
   void clearPreemption() { Preempted_ = false; }
-  /// Called at most once for each time it is set.
+  /// Sets the function to call on cancellation or preemption. It is called at
+  /// most once each time it is set.
   void setListener(std::function<void()> Wake) { Wake_ = std::move(Wake); }
 
 private:
@@ -114,7 +115,7 @@
   bool Preempted_ = false;
 };
 
-/// The right to run a request on an endpoint now.
+/// An endpoint with the team permit and the slot to run one request on it.
 struct Placement {
   routing::EndpointIndex Endpoint_;
   limits::Permit TeamPermit_;
--- a/src/entry/reservationservice.h
+++ b/src/entry/reservationservice.h
@@ -10,7 +10,7 @@
 
 namespace laburnumspread::entry {
 
-/// A key that this entry may dispatch once.
+/// An idempotency key reserved by this entry for one dispatch.
 struct Reservation {
   idempotency::RecordName Name_;
   idempotency::AttemptId Attempt_;
@@ -19,31 +19,32 @@
   std::uint64_t Fingerprint_ = 0;
 };
 
-/// What became of the try to reserve a key.
+/// Result of an attempt to reserve a key.
 struct ReservationResult {
   idempotency::ReservationOutcome Verdict_ =
       idempotency::ReservationOutcome::Retry;
   Reservation Reservation_;
-  /// With Duplicate.
+  /// The existing record; set with Duplicate.
   idempotency::Record Found_;
 };
 
-/// Reserves keys at their homes, reports how attempts ended, and keeps this
-/// entry's own records ready across changes of the view.
+/// Reserves idempotency keys at their homes, the entries that store a key's
+/// records, and reports the outcome of attempts to them. As a home, copies
+/// records from the former homes when the view changes.
 class ReservationService {
 public:
   explicit ReservationService(EntryState &State)
       : State_(State), Random_(State.Self_.Id_.Incarnation_.value()) {}
 
-  /// Starts the fiber that asks former homes for copies.
+  /// Starts the fiber that requests copies from former homes.
   void start();
 
-  /// Waits for most homes of the key. Never Pending.
+  /// Waits for a quorum of the key's homes. The verdict is never Pending.
   ReservationResult reserve(const WorkRequest &Request,
                             std::uint64_t Fingerprint);
   void finish(const Reservation &Held, idempotency::RecordState How,
               const idempotency::StoredResponse &Answer);
-  /// Nothing of the request has left.
+  /// Releases a reservation of which no part was sent to an endpoint.
   void abandon(const Reservation &Held);
 
   void handle(const peers::Sender &From,
