--- a/src/peers/internal/messagecodec.cpp
+++ b/src/peers/internal/messagecodec.cpp
@@ -57,7 +57,7 @@
   To.set_whole(From.Response_.Complete_);
 }
 
-/// A value that this program does not know is taken for the most cautious one.
+/// Values unknown to this release are read as \p Cautious, the safest choice.
 template <typename Enum>
 Enum readEnum(std::uint32_t Value, Enum Last, Enum Cautious) {
   return Value <= static_cast<std::uint32_t>(Last) ? static_cast<Enum>(Value)
@@ -390,7 +390,7 @@
   case wire::Envelope::BODY_NOT_SET:
     break;
   }
-  return absl::InvalidArgumentError("no body, or one of a later kind");
+  return absl::InvalidArgumentError("message body is missing or unknown");
 }
 
 } // namespace
@@ -411,7 +411,7 @@
   if (!In.ParseFromArray(Bytes.data(), static_cast<int>(Bytes.size())))
     return absl::InvalidArgumentError("not a peer message");
   if (In.version() != WireVersion)
-    return absl::InvalidArgumentError("message version " +
+    return absl::InvalidArgumentError("unsupported message version " +
                                       std::to_string(In.version()));
   Envelope Result;
   Result.From_ = {read(In.sender()), In.sender_address(),
--- a/src/peers/internal/peermesh.cpp
+++ b/src/peers/internal/peermesh.cpp
@@ -18,15 +18,15 @@
 constexpr int MaxQueuedMessages = 10'000;
 constexpr std::int64_t MaxEnvelopeBytes = 64 * 1024 * 1024;
 constexpr int HeartbeatMs = 1000;
-/// A path that has forgotten the connection is found after this silence, and
-/// the socket connects anew.
+/// A connection silently dropped by the network is detected after this time,
+/// and the socket reconnects.
 constexpr int HeartbeatTimeoutMs = 3000;
 constexpr int ReconnectMs = 100;
 constexpr int ReconnectMaxMs = 1000;
 constexpr const char *ZapEndpoint = "inproc://zeromq.zap.01";
 constexpr const char *ZapDomain = "laburnumspread";
-/// Frames of a ZAP request: version, id, domain, address, identity, mechanism,
-/// client key.
+/// A ZAP request consists of the frames version, request id, domain, address,
+/// identity, mechanism and client key.
 constexpr std::size_t ZapFrames = 7;
 constexpr std::size_t ZapIdFrame = 1;
 constexpr std::size_t ZapKeyFrame = 6;
@@ -64,8 +64,8 @@
         [Self = shared_from_this()] { Self->receiveLoop(); });
   }
 
-  /// Answers ZeroMQ's question whether a client may connect. Without it any
-  /// client that knows the public key would get in.
+  /// Answers ZeroMQ's authentication requests. Without a handler, any client
+  /// that knows the public key could connect.
   void zapLoop() {
     while (!Stopped_ && ZapReader_->waitForMessage()) {
       std::vector<zmq::message_t> Frames;
@@ -122,7 +122,8 @@
     Counters_.BytesIn_ += Bytes.size();
     ++Counters_.MessagesIn_;
     absl::StatusOr<Envelope> Arrived = decode(Bytes);
-    // A letter for an earlier run of this entry speaks of state that is gone.
+    // Messages for another incarnation of this entry refer to state that no
+    // longer exists.
     const bool Mine =
         Arrived.ok() && Arrived->To_.Name_ == Self_.Name_ &&
         (Arrived->To_.Incarnation_.value() == 0 || Arrived->To_ == Self_);
@@ -208,7 +209,7 @@
     const std::string Port = At.Port_ == 0 ? "*" : std::to_string(At.Port_);
     S.Inbox_.bind("tcp://" + At.Ip_ + ":" + Port);
   } catch (const zmq::error_t &Error) {
-    return absl::UnavailableError("cannot listen for peers on " + At.str() +
+    return absl::UnavailableError("cannot bind peer address " + At.str() +
                                   ": " + Error.what());
   }
   const std::string Bound = S.Inbox_.get(zmq::sockopt::last_endpoint);
--- a/src/peers/internal/zmqreader.h
+++ b/src/peers/internal/zmqreader.h
@@ -7,19 +7,20 @@
 
 namespace laburnumspread::peers {
 
-/// Waits for a ZeroMQ socket inside the io_context.
+/// Waits for messages on a ZeroMQ socket from within the io_context.
 class ZmqReader {
 public:
   ZmqReader(boost::asio::io_context &Io, zmq::socket_t &Socket)
       : Socket_(Socket), Descriptor_(Io, Socket.get(zmq::sockopt::fd)) {}
 
-  /// The descriptor belongs to the socket, so it is let go, not closed.
+  /// Releases the descriptor without closing it: the socket owns it.
   ~ZmqReader() { Descriptor_.release(); }
 
-  /// Suspends the fiber until a message is there. False when stopped.
+  /// Suspends the fiber until a message is available. Returns false after
+  /// stop().
   bool waitForMessage() {
-    // The descriptor only tells that the state may have changed, and only
-    // once; the socket's events must be read before each wait.
+    // The descriptor is edge-triggered and only signals that the state may have
+    // changed, so the socket's events must be read before each wait.
     while (!(Socket_.get(zmq::sockopt::events) & ZMQ_POLLIN)) {
       const auto Outcome = framework::fibers::await([this](auto Done) {
         Descriptor_.async_wait(boost::asio::posix::stream_descriptor::wait_read,
--- a/src/peers/messagecodec.h
+++ b/src/peers/messagecodec.h
@@ -9,10 +9,11 @@
 
 namespace laburnumspread::peers {
 
-/// Version of the messages' meaning. Another one is refused whole: fields can
-/// be added within a version, meanings cannot change.
+/// Version of the message format. Messages of another version are rejected.
+/// Within a version, fields may be added but must not change their meaning.
 constexpr std::uint32_t WireVersion = 1;
 
+/// A message with its sender and recipient.
 struct Envelope {
   Sender From_;
   MemberId To_;
@@ -21,7 +22,8 @@
 
 std::string encode(const Envelope &Outgoing);
 
-/// InvalidArgument when the bytes are no letter of this version.
+/// Decodes an encoded envelope. Returns InvalidArgument if the bytes are not a
+/// message of this version.
 absl::StatusOr<Envelope> decode(std::string_view Bytes);
 
 } // namespace laburnumspread::peers
--- a/src/peers/messages.h
+++ b/src/peers/messages.h
@@ -14,7 +14,7 @@
 using framework::clock::TimePoint;
 using membership::MemberId;
 
-/// Work of one team in one pool at one entry.
+/// Requests of one team in one pool at one entry.
 struct PoolUsage {
   fleet::PoolName Pool_;
   fleet::TeamName Team_;
@@ -22,35 +22,36 @@
   std::uint32_t Waiting_ = 0;
 };
 
-/// Slots of a leaving VM that the sender uses or has lent.
+/// Slots of a leaving VM that the sender is using or has lent.
 struct VmUsage {
   fleet::VmName Vm_;
   std::uint32_t Busy_ = 0;
 };
 
-/// What an entry says of itself, to every peer, again and again. Each one
-/// replaces the one before, so a lost one costs only time.
+/// State of an entry, sent periodically to every peer. Each heartbeat replaces
+/// the previous one, so a lost one only causes a delay.
 struct Heartbeat {
   membership::ViewNumber View_;
   membership::ViewNumber SettledThrough_;
-  /// Configuration in force at the sender.
+  /// Revision of the configuration that the sender has applied.
   fleet::Revision ConfigRevision_;
-  /// Sending time of the last heartbeat from the recipient.
+  /// Sending time of the last heartbeat received from the recipient, by the
+  /// recipient's clock.
   TimePoint EchoedSentAt_{};
   std::vector<limits::HeldUnit> StillHeld_;
   std::uint64_t BucketsToCopy_ = 0;
-  /// Rows that have changed, as many as the bound on control traffic allows; a
-  /// row of zeros takes one back.
+  /// Changed rows, as many as the control traffic budget allows. A row of zeros
+  /// removes an earlier one.
   std::vector<PoolUsage> PoolUsage_;
-  /// Busy slots of VMs that are leaving under ConfigRevision_. A leaving VM
-  /// that is not listed has none at the sender.
+  /// Busy slots of VMs that are leaving as of ConfigRevision_. For a leaving VM
+  /// that is not listed, the sender has none.
   std::vector<VmUsage> LeavingVms_;
   bool StoreInTouch_ = false;
   bool Ready_ = false;
 };
 
-/// Asks for loans: of team permits if Pool_ is empty, else of slots in the
-/// pool, for a request of the team.
+/// Requests loans: of team permits if Pool_ is empty, otherwise of slots in the
+/// pool for requests of the team.
 struct BorrowRequest {
   fleet::PoolName Pool_;
   fleet::TeamName Team_;
@@ -59,36 +60,41 @@
   TimePoint Until_{};
 };
 
+/// Loans granted to the recipient. Pool_ is empty for team permits.
 struct LoanGrant {
   std::vector<limits::Loan> Loans_;
   fleet::PoolName Pool_;
   fleet::TeamName Team_;
 };
 
+/// Loans that the sender returns to their lender.
 struct LoanReturn {
   std::vector<limits::LoanId> Loans_;
 };
 
+/// Reports the outcome of an attempt to a home of its idempotency key.
 struct Finish {
   idempotency::NamedRecord Record_;
 };
 
+/// Releases a reservation whose request was not sent to an endpoint.
 struct Abandon {
   idempotency::RecordName Name_;
   idempotency::AttemptId Attempt_;
 };
 
-/// Asks for everything that was written after a revision.
+/// Requests all values written after a revision.
 struct SnapshotRequest {
   fleet::Revision Since_;
 };
 
+/// Values written after the requested revision, complete up to Through_.
 struct Snapshot {
   std::vector<store::KeyValue> Items_;
   fleet::Revision Through_;
 };
 
-/// The caller of a request wants it ended, wherever it waits.
+/// Cancels a caller's request at whichever entry holds it.
 struct CancelRequest {
   idempotency::RecordName Name_;
 };
@@ -102,36 +108,36 @@
   std::string Key_;
 };
 
-/// A caller's request about a job, passed on to the holder of the cell.
+/// A caller's request about a job, forwarded to the leader of the cell.
 struct JobCall {
-  /// Unique at the sender; the reply carries it.
+  /// Unique per sender; copied into the reply.
   std::uint64_t Sequence_ = 0;
   JobCallKind Kind_ = JobCallKind::State;
   std::string Job_;
   std::string Queue_;
   /// Encoded job, for Submit.
   std::string Spec_;
-  /// Version of the configuration by which the caller was let in.
+  /// Version of the configuration under which the sender admitted the call.
   std::uint64_t ConfigVersion_ = 0;
-  /// Not set by entries of earlier releases.
+  /// Not set by earlier releases.
   std::optional<CallOrigin> Origin_;
 };
 
 enum class JobCallStatus {
-  /// Stored, or the state or count is in the reply.
+  /// The change is stored, or the reply holds the requested state or count.
   Ok,
-  /// Not taken, and never will be by this attempt.
+  /// Rejected. This attempt will not take effect later.
   Refused,
-  /// No such job or queue.
+  /// The job or queue does not exist.
   Missing,
-  /// Whether it was stored is not known.
+  /// Unknown whether the change was stored.
   Unknown,
-  /// The recipient is not the holder; nothing was done.
+  /// The recipient is not the leader; nothing was done.
   NotLeader,
-  /// The holder's configuration is newer than the entry's and has no queue for
+  /// The leader's configuration is newer than the sender's and has no queue for
   /// the call; nothing was done.
   NoSuchQueue,
-  /// The holder's configuration is newer than the entry's and does not accept
+  /// The leader's configuration is newer than the sender's and does not accept
   /// the key; nothing was done.
   UnknownKey,
 };
@@ -143,12 +149,12 @@
   std::string State_;
   std::uint64_t Waiting_ = 0;
   std::uint64_t RetryAfterMs_ = 0;
-  /// Version of the configuration in force at the holder.
+  /// Version of the configuration that the leader has applied.
   std::uint64_t ConfigVersion_ = 0;
 };
 
-/// The holder of the cell cannot reach the store. Whoever can may take the
-/// leadership with this token over at once.
+/// Sent by a leader that cannot reach the store. An entry that can reach it may
+/// take over the leadership with this fencing token immediately.
 struct LeadershipOffer {
   std::uint64_t Token_ = 0;
 };
@@ -160,7 +166,7 @@
                  SnapshotRequest, Snapshot, CancelRequest, JobCall, JobReply,
                  LeadershipOffer>;
 
-/// Who sent a message, and when by its own clock.
+/// Sender of a message, with the sending time by the sender's clock.
 struct Sender {
   MemberId Id_;
   std::string Address_;
--- a/src/peers/peermesh.h
+++ b/src/peers/peermesh.h
@@ -14,8 +14,8 @@
 
 namespace laburnumspread::peers {
 
-/// CURVE key pair of the fleet, Z85 text of 40 characters each. All entries
-/// hold the same pair; who does not gets no message through.
+/// CURVE key pair of the fleet, each key as 40 characters of Z85 text. All
+/// entries share one pair; connections with other keys are rejected.
 struct PeerKeys {
   std::string Public_;
   std::string Secret_;
@@ -28,16 +28,19 @@
   std::uint64_t BytesIn_ = 0;
   std::uint64_t MessagesOut_ = 0;
   std::uint64_t MessagesIn_ = 0;
-  /// Not sent since the peer was not connected or its queue was full.
+  /// Messages not sent because the peer was not connected or its queue was
+  /// full.
   std::uint64_t Dropped_ = 0;
-  /// Letters that could not be read or were for another run of this entry.
+  /// Messages that could not be decoded or were addressed to another entry or
+  /// incarnation.
   std::uint64_t Refused_ = 0;
 };
 
-/// Sends and receives letters between entries over ZeroMQ with CURVE. A letter
-/// arrives once, or not at all: nothing is kept for a peer that is not
-/// connected, so that no old letter comes after a pause. All users of the mesh
-/// bear with lost letters.
+/// Sends and receives messages between entries over ZeroMQ with CURVE.
+///
+/// Delivery is at most once: messages to a peer that is not connected are
+/// dropped, so that no stale message arrives after an interruption. Callers
+/// must tolerate lost messages.
 class PeerMesh {
 public:
   using Handler = std::function<void(const Sender &, Message &&)>;
@@ -46,13 +49,15 @@
            Handler Handle);
   ~PeerMesh();
 
-  /// Binds and starts receiving; \p Advertised is told to peers, port 0 in it
-  /// is replaced by the port that was bound.
+  /// Binds to \p At and starts receiving. \p Advertised is the address sent to
+  /// peers; a port of 0 is replaced by the bound port. Returns Unavailable if
+  /// the address cannot be bound.
   absl::Status bind(const framework::http::Address &At,
                     framework::http::Address Advertised);
   const framework::http::Address &advertised() const;
 
-  /// Sends to a run of an entry at its address. Never waits.
+  /// Sends a message to an incarnation of an entry at its address. Never
+  /// blocks; a message that cannot be queued is dropped.
   void send(const MemberId &To, const std::string &Address,
             const Message &Body);
 
--- a/src/peers/tests/messagecodectest.cpp
+++ b/src/peers/tests/messagecodectest.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(LettersArriveAsTheyWereSent) {
+BOOST_AUTO_TEST_CASE(EnvelopeRoundTrips) {
   LoanGrant Sent;
   Sent.Loans_.push_back({{idOf("a"), 5},
                          limits::SubjectName("team/x"),
@@ -39,18 +39,19 @@
   BOOST_TEST((Body.Loans_[0].Until_ == Sent.Loans_[0].Until_));
 }
 
-BOOST_AUTO_TEST_CASE(OtherVersionIsRefusedAndUnknownFieldIsPassedOver) {
+BOOST_AUTO_TEST_CASE(OtherVersionIsRejectedAndUnknownFieldIsIgnored) {
   const std::string Bytes = encode(envelopeWith(SnapshotRequest{}));
   wire::Envelope Raw;
   BOOST_REQUIRE(Raw.ParseFromString(Bytes));
   Raw.set_version(WireVersion + 1);
   BOOST_TEST(!decode(Raw.SerializeAsString()).ok());
-  // Field 200, a varint: what a later program might add.
+  // Field 200 as a varint, as a later release might add it.
   BOOST_TEST(decode(Bytes + "\xc0\x0c\x01").ok());
 }
 
-// Random damage to letters must never do worse than be refused.
-BOOST_AUTO_TEST_CASE(DamagedLettersAreHarmless) {
+// Randomly corrupted messages must be rejected or decoded, but never crash the
+// decoder.
+BOOST_AUTO_TEST_CASE(CorruptedMessagesAreHarmless) {
   std::mt19937 Random(1);
   Heartbeat Beat;
   Beat.StillHeld_.push_back({limits::SubjectName("team/x"), limits::Unit(1)});
--- a/src/peers/tests/peermeshtest.cpp
+++ b/src/peers/tests/peermeshtest.cpp
@@ -29,7 +29,7 @@
   PeerMesh Mesh_;
 };
 
-/// Sends until something arrives, as every user of the mesh does.
+/// Sends repeatedly until a message arrives, since delivery is not guaranteed.
 bool sendUntilHeard(Node &From, Node &To, int Tries) {
   const std::string Address = To.Mesh_.advertised().str();
   for (int I = 0; I < Tries && To.Heard_.empty(); ++I) {
@@ -51,16 +51,16 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(EntriesOfOneFleetHearEachOther) {
+BOOST_AUTO_TEST_CASE(EntriesOfOneFleetExchangeMessages) {
   const PeerKeys Keys = generatePeerKeys();
   Node A(sharedIo(), "a", Keys), B(sharedIo(), "b", Keys);
   BOOST_TEST(sendUntilHeard(A, B, ManyTries));
   BOOST_TEST((B.Heard_[0].Id_ == idOf("a")));
 }
 
-// A stranger knows the fleet's public key, as anybody may, but not the secret
-// one. Its connection is refused and no letter of it arrives.
-BOOST_AUTO_TEST_CASE(PeerWithoutTheKeyGetsNowhere) {
+// A peer that knows the fleet's public key but not its secret key must be
+// rejected, and none of its messages may arrive.
+BOOST_AUTO_TEST_CASE(PeerWithoutSecretKeyIsRejected) {
   const PeerKeys Keys = generatePeerKeys();
   const PeerKeys Own = generatePeerKeys();
   Node Stranger(sharedIo(), "a", {Keys.Public_, Own.Secret_});
@@ -71,7 +71,7 @@
   BOOST_TEST((B.Heard_[0].Id_ == idOf("c")));
 }
 
-BOOST_AUTO_TEST_CASE(LetterForAnEarlierRunIsRefused) {
+BOOST_AUTO_TEST_CASE(MessageForAnotherIncarnationIsRejected) {
   const PeerKeys Keys = generatePeerKeys();
   Node A(sharedIo(), "a", Keys), B(sharedIo(), "b", Keys);
   BOOST_REQUIRE(sendUntilHeard(A, B, ManyTries));
