--- a/src/config/changelog.h
+++ b/src/config/changelog.h
@@ -10,22 +10,23 @@
 
 namespace laburnumspread::config {
 
-/// The last changes, for watchers. Bounded; a watcher that asks for more than
-/// is kept is told to list again.
+/// Bounded log of the most recent configuration changes, for watchers. A
+/// watcher that asks for evicted changes must list the objects again.
 class ChangeLog {
 public:
+  /// Maximum number of changes kept.
   static constexpr std::size_t Kept = 1024;
 
   void add(std::vector<Change> Changes, Revision Through);
 
-  /// Changes of a kind after \p Since, in order. Empty optional when some of
-  /// them are no longer kept.
+  /// Changes of a kind after \p Since, in order. Returns nullopt if some of
+  /// them have been evicted.
   std::optional<std::vector<Change>> since(Kind Of, Revision Since) const;
 
-  /// Everything up to this revision has been added.
+  /// Revision up to which all changes have been added.
   Revision through() const { return Through_; }
 
-  /// Everything after this revision is kept.
+  /// Revision after which all changes are still kept.
   Revision compactedThrough() const { return CompactedThrough_; }
 
 private:
--- a/src/config/configtable.h
+++ b/src/config/configtable.h
@@ -10,37 +10,38 @@
 
 namespace laburnumspread::config {
 
-/// The configuration in force at one entry: numbered by the store's revision,
-/// which only rises. Fed by the watch, by the periodic read and by peers, in
-/// any order and any number of times.
+/// The active configuration of one entry. Its revision is the store's and only
+/// increases. Updates from the watch, the periodic read and peers may arrive in
+/// any order and more than once.
 class ConfigTable {
 public:
   explicit ConfigTable(std::string Prefix) : Prefix_(std::move(Prefix)) {}
 
-  /// Takes values and notes that everything up to \p Through is known. A value
-  /// that is not newer than the one in force is left aside, so nothing ever
-  /// reverts. Returns what changed.
+  /// Applies values and records that all writes up to \p Through are known.
+  /// Values that are not newer than the active one are ignored, so that no
+  /// change is ever reverted. Returns the resulting changes.
   std::vector<Change> apply(const std::vector<store::KeyValue> &Items,
                             Revision Through);
 
-  /// Everything written after \p Since, for a peer that lags.
+  /// All values written after \p Since, for a peer that lags behind.
   std::vector<store::KeyValue> itemsSince(Revision Since) const;
 
-  /// A store that answers with a revision below the one in force has lost
-  /// writes that were accepted (it was restored from a backup, say). Returns
-  /// true and stays set: nothing of it is taken any more.
+  /// Returns whether the store's data must be rejected. A store that answers
+  /// with a revision below the active one has lost accepted writes, for example
+  /// because it was restored from a backup. Once detected, this stays true.
   bool detectStoreRollback(Revision StoreRevision);
   bool storeRolledBack() const { return StoreRolledBack_; }
 
-  /// A revision at which every entry that has it in force knows the object as
-  /// it stands: that of the last write to the value that holds it. The
-  /// object's own resource version may be lower than that of its write.
+  /// Revision of the last write to the value that holds the object. Every entry
+  /// that has applied it knows the object's current state. The object's own
+  /// resource version may be lower than the revision of its write.
   Revision lastWriteRevision(Kind Of, std::string_view Name) const;
 
   const FleetTables &tables() const { return Tables_; }
   Revision revision() const { return Revision_; }
   const std::string &prefix() const { return Prefix_; }
-  /// Shard values that could not be read; the version before stays in force.
+  /// Number of shard values and objects that could not be decoded; the previous
+  /// version of each stays active.
   std::uint64_t unreadableValues() const { return UnreadableValues_; }
 
 private:
--- a/src/config/configtypes.h
+++ b/src/config/configtypes.h
@@ -12,13 +12,13 @@
 enum class ChangeType { Added, Modified, Deleted };
 std::string_view nameOf(ChangeType Type);
 
-/// One object's change, as watchers see it.
+/// Change of one object, as reported to watchers.
 struct Change {
   ChangeType Type_ = ChangeType::Modified;
   Kind Kind_ = Kind::Pools;
   std::string Name_;
   Revision Revision_;
-  /// The object as JSON text; as it last was if it has been deleted.
+  /// The object as JSON text; for a deletion, its last state.
   std::string Object_;
 };
 
--- a/src/config/fleettables.h
+++ b/src/config/fleettables.h
@@ -10,14 +10,14 @@
 
 template <typename T> using Table = std::map<std::string, T, std::less<>>;
 
-/// All declared objects in force at an entry, by kind and name.
+/// All declared objects in an entry's active configuration, by kind and name.
 struct FleetTables {
   Table<fleet::Pool> Pools_;
   Table<fleet::Vm> Vms_;
   Table<fleet::Team> Teams_;
   Table<fleet::Key> Keys_;
   Table<fleet::Wave> Waves_;
-  /// Key names by the hash of their secret.
+  /// Names of access keys by the SHA-256 of their secret.
   std::map<std::string, std::string, std::less<>> KeyBySecret_;
 
   template <typename T> Table<T> &table();
@@ -36,7 +36,7 @@
 template <> inline Table<fleet::Key> &FleetTables::table() { return Keys_; }
 template <> inline Table<fleet::Wave> &FleetTables::table() { return Waves_; }
 
-/// Calls \p Visit with a null pointer of the C++ type of \p Of.
+/// Calls \p Visit with a null pointer to the C++ type that represents \p Of.
 template <typename Visitor>
 decltype(auto) visitKind(fleet::Kind Of, Visitor &&Visit) {
   switch (Of) {
--- a/src/config/internal/changelog.cpp
+++ b/src/config/internal/changelog.cpp
@@ -6,7 +6,7 @@
 
 void ChangeLog::add(std::vector<Change> Changes, Revision Through) {
   if (!Started_ && Through.value() > 0) {
-    // What led to the first revision was never seen as changes.
+    // The changes that led to the first known revision were not observed.
     Started_ = true;
     CompactedThrough_ = Through_ = Through;
     return;
--- a/src/config/internal/configtable.cpp
+++ b/src/config/internal/configtable.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Objects of a stored value, or null if it cannot be read.
+/// Objects of a stored value, or null if it is malformed.
 const json::object *itemsOf(const json::value &Document) {
   const json::object *Whole = Document.if_object();
   const json::value *Items = Whole ? Whole->if_contains("items") : nullptr;
--- a/src/config/internal/objectwriter.cpp
+++ b/src/config/internal/objectwriter.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Longest stored value; the platform takes up to a megabyte.
+/// Maximum size of a stored value. The platform accepts up to 1 MB.
 constexpr std::size_t MaxShardBytes = 256 * 1024;
 
 const store::KeyValue *findKey(const store::RangeResult &Read,
@@ -36,17 +36,18 @@
       framework::settings::parseJson(Found->Value_);
   if (!Document.ok() || !Document->is_object() ||
       !Document->get_object().contains("items"))
-    return absl::DataLossError("stored value " + Key + " cannot be read");
+    return absl::DataLossError("stored value " + Key + " is malformed");
   Open.Items_ = std::move(Document->get_object()["items"].as_object());
   if (Found->Value_.size() > MaxShardBytes)
-    return absl::ResourceExhaustedError("stored value " + Key + " is full");
+    return absl::ResourceExhaustedError("stored value " + Key +
+                                        " exceeds the size limit");
   return Open;
 }
 
 std::string serializeShard(const LoadedShard &Open) {
   json::object Whole;
   Whole["items"] = Open.Items_;
-  // Tells this write from every other, also from one of the same content.
+  // Distinguishes this write from all others, even those of equal content.
   Whole["write"] = framework::digest::randomHex(8);
   return json::serialize(Whole);
 }
--- a/src/config/objectwriter.h
+++ b/src/config/objectwriter.h
@@ -17,27 +17,30 @@
 
 namespace laburnumspread::config {
 
-/// A stored value while it is being changed.
+/// A stored value that has been read in order to change objects in it.
 struct LoadedShard {
   store::KeyValue Stored_;
   boost::json::object Items_;
-  /// Larger than the resource version of any object in the value.
+  /// Resource version for changed objects; larger than that of any object in
+  /// the value.
   Revision NextResourceVersion_;
 };
 
+/// Decodes the value of \p Key; a missing one gives an empty shard. Returns
+/// DataLoss if it cannot be decoded and ResourceExhausted if it is too large.
 absl::StatusOr<LoadedShard> loadShard(const std::string &Key,
                                       const store::RangeResult &Read);
 std::string serializeShard(const LoadedShard &Open);
 
-/// Whether \p Read holds what \p Wanted would have written. Tells, after a
-/// write whose answer was lost, whether it took effect.
+/// Whether \p Read holds the value \p Wanted under \p Key. Used after a write
+/// whose answer was lost to find out whether it took effect.
 bool containsWrite(const store::RangeResult &Read, const std::string &Key,
                    std::string_view Wanted);
 
-/// What an accepted write made.
+/// Result of a successful write.
 template <typename T> struct WriteResult {
   T Object_;
-  /// Revision from which the change is in the store.
+  /// Store revision from which on the change is visible.
   Revision Revision_;
   bool Changed_ = false;
 };
@@ -45,20 +48,20 @@
 /// Changes declared objects by compare-and-swap on the values that hold them.
 ///
 /// A write whose answer was lost may have taken effect. The value is then read
-/// back, so that an operator is never told "failed" of a change that is in
-/// force, nor the other way round.
+/// back, so that a change that took effect is not reported as failed, or vice
+/// versa.
 template <store::KeyValueStore Store> class ObjectWriter {
 public:
   ObjectWriter(Store &Into, std::string Prefix)
       : Store_(Into), Prefix_(std::move(Prefix)) {}
 
-  /// Tries of one write against racing writers, and read-backs after a lost
-  /// answer.
+  /// Maximum number of attempts of one write against concurrent writers, and of
+  /// reads after a lost answer.
   static constexpr int MaxAttempts = 8;
 
-  /// Writes the spec of an object, making it if need be. Aborted when
-  /// \p IfMatch is given and is not the object's resource version; nothing is
-  /// written when the spec is as wanted already.
+  /// Writes the spec of an object, creating the object if it does not exist.
+  /// Returns Aborted if \p IfMatch is given and is not the object's resource
+  /// version. Nothing is written if the spec is unchanged.
   template <typename T>
   absl::StatusOr<WriteResult<T>>
   putSpec(const T &Wanted, std::optional<Revision> IfMatch, bool DryRun,
@@ -82,7 +85,8 @@
         DryRun, Deadline);
   }
 
-  /// NotFound when there is no such object.
+  /// Deletes an object. Returns NotFound if it does not exist and Aborted if
+  /// \p IfMatch is given and is not its resource version.
   template <typename T>
   absl::StatusOr<WriteResult<T>>
   remove(const std::string &Name, std::optional<Revision> IfMatch, bool DryRun,
@@ -100,10 +104,13 @@
         DryRun, Deadline);
   }
 
-  /// Changes an object by \p Edit, which sees it as it stands in the store, so
-  /// that a decision made on an older state can be dropped by an error.
-  /// \p Guards must hold too when the write takes effect: a planner that was
-  /// paused and has lost its lease changes nothing.
+  /// Applies \p Edit to the object's current state in the store. \p Edit can
+  /// return an error to reject a change that was planned on older state.
+  /// \p Guards are additional conditions of the write, so that a planner that
+  /// was paused and lost its lease changes nothing.
+  ///
+  /// Returns the error of \p Edit or loadShard(), Unavailable if nothing was
+  /// written, or Unknown if the outcome of the write cannot be determined.
   template <typename T>
   absl::StatusOr<WriteResult<T>>
   change(const std::string &Name,
@@ -140,7 +147,7 @@
       if (*Done)
         return WriteResult<T>{Object ? *Object : *Last, **Done, true};
     }
-    return absl::UnavailableError("not written: too many racing writers");
+    return absl::UnavailableError("not written: too many concurrent writers");
   }
 
 private:
@@ -185,7 +192,8 @@
       Open.Items_.erase(Name);
   }
 
-  /// The revision of the write; an empty optional if another writer was first.
+  /// Returns the revision of the write, or nullopt if a concurrent write came
+  /// first.
   absl::StatusOr<std::optional<Revision>>
   commit(const std::string &Key, const LoadedShard &Open,
          framework::clock::TimePoint Deadline,
@@ -214,13 +222,12 @@
         continue;
       if (containsWrite(*Read, Key, Text))
         return std::optional<Revision>(Read->StoreRevision_);
-      // Not there: either it never arrived, or another writer came after it.
-      // Trying again is right in both cases, since the edit starts from what
-      // is there now.
+      // The write never arrived, or another one has replaced it. Retrying is
+      // correct in both cases, since the edit starts from the current state.
       return std::optional<Revision>();
     }
-    return absl::UnknownError("the store's answer was lost and it cannot be "
-                              "read now; the change may be in force: " +
+    return absl::UnknownError("the store did not answer and cannot be read; "
+                              "the change may have taken effect: " +
                               std::string(Why.message()));
   }
 
--- a/src/config/tests/configtabletest.cpp
+++ b/src/config/tests/configtabletest.cpp
@@ -38,9 +38,9 @@
 
 } // namespace
 
-// A peer's snapshot from before an accepted change arrives after it, as one
-// does when the path between two entries was slow. The change stays in force.
-BOOST_FIXTURE_TEST_CASE(LateOldSnapshotRevertsNothing, Fixture) {
+// A peer's snapshot from before an accepted change arrives after the change, as
+// on a slow connection. It must not revert the change.
+BOOST_FIXTURE_TEST_CASE(StaleSnapshotRevertsNothing, Fixture) {
   put("orders", 1);
   const store::RangeResult Old = readAll();
   put("orders", 2);
@@ -50,7 +50,7 @@
   BOOST_TEST(Table_.revision() == Revision(2));
 }
 
-BOOST_FIXTURE_TEST_CASE(DeletedObjectIsReportedOnceAndStaysAway, Fixture) {
+BOOST_FIXTURE_TEST_CASE(DeletedObjectIsReportedOnceAndStaysDeleted, Fixture) {
   put("orders", 1);
   take(readAll());
   const store::RangeResult Old = readAll();
@@ -63,9 +63,10 @@
   BOOST_TEST(!Table_.tables().find<fleet::Team>("orders"));
 }
 
-// The store comes back from a backup and answers with a lower revision. What
-// it holds lacks accepted changes, a withdrawn key among them perhaps.
-BOOST_FIXTURE_TEST_CASE(StoreThatWentBackIsRefused, Fixture) {
+// The store is restored from a backup and answers with a lower revision. Its
+// data lacks accepted changes, such as the withdrawal of a key, and must be
+// rejected from then on.
+BOOST_FIXTURE_TEST_CASE(RolledBackStoreIsRejected, Fixture) {
   put("orders", 1);
   put("orders", 2);
   take(readAll());
@@ -74,7 +75,7 @@
   BOOST_TEST(Table_.detectStoreRollback(Revision(9)));
 }
 
-BOOST_FIXTURE_TEST_CASE(UnreadableValueLeavesTheFormerInForce, Fixture) {
+BOOST_FIXTURE_TEST_CASE(MalformedValueKeepsThePreviousOneActive, Fixture) {
   put("orders", 7);
   store::RangeResult Read = readAll();
   take(Read);
@@ -85,7 +86,7 @@
   BOOST_TEST(Table_.unreadableValues() == 1u);
 }
 
-BOOST_FIXTURE_TEST_CASE(LaggingPeerGetsWhatItLacks, Fixture) {
+BOOST_FIXTURE_TEST_CASE(LaggingPeerGetsMissingItems, Fixture) {
   put("orders", 1);
   put("menus", 2);
   take(readAll());
@@ -96,7 +97,7 @@
   BOOST_TEST(Table_.itemsSince(Table_.revision()).empty());
 }
 
-BOOST_AUTO_TEST_CASE(WatcherThatIsTooFarBehindIsTold) {
+BOOST_AUTO_TEST_CASE(WatcherTooFarBehindIsDetected) {
   ChangeLog Log;
   Log.add({}, Revision(10));
   BOOST_TEST(!Log.since(Kind::Teams, Revision(9)));
--- a/src/config/tests/fakestore.h
+++ b/src/config/tests/fakestore.h
@@ -6,15 +6,15 @@
 
 namespace laburnumspread::config {
 
-/// A store in memory that fails on command.
+/// In-memory store with injectable failures.
 class FakeStore {
 public:
-  /// The next commit takes effect and its answer is lost.
+  /// The next commit takes effect, but its answer is lost.
   bool LoseNextAnswer_ = false;
-  /// The next commit never arrives, and the sender cannot know.
+  /// The next commit never arrives; the sender sees a timeout.
   bool LoseNextRequest_ = false;
   bool Down_ = false;
-  /// Runs once just before the next commit: a racing writer.
+  /// Called once just before the next commit, to simulate a concurrent writer.
   std::function<void()> BeforeCommit_;
   int Commits_ = 0;
 
--- a/src/config/tests/objectwritertest.cpp
+++ b/src/config/tests/objectwritertest.cpp
@@ -54,9 +54,9 @@
   BOOST_TEST(!Second->Changed_);
 }
 
-// The store does the write and its answer is lost. The operator must be told
-// that the change is in force, not that it failed: a second try by hand might
-// undo what another operator did in between.
+// The store performs the write, but its answer is lost. The write must be
+// reported as successful: if it were reported as failed, the operator might
+// repeat it and undo another operator's change made in between.
 BOOST_FIXTURE_TEST_CASE(LostAnswerIsResolvedByReadingBack, Fixture) {
   Store_.LoseNextAnswer_ = true;
   const auto Done =
@@ -73,9 +73,9 @@
   BOOST_TEST(storedLimit() == 5u);
 }
 
-// Two operators change one team at the same time, both from the version that
-// they have seen. The second must be refused with the present version, and the
-// first one's change must stand.
+// Two operators change the same team concurrently, both based on the same
+// version. The second must be rejected with Aborted, and the first change must
+// be kept.
 BOOST_FIXTURE_TEST_CASE(RacingOperatorsNeverLoseAnUpdate, Fixture) {
   const auto First =
       Writer_.putSpec(teamWithLimit(1), std::nullopt, false, Later);
@@ -88,9 +88,9 @@
   BOOST_TEST(storedLimit() == 2u);
 }
 
-// Two planners move one VM to different pools. There is one record of the VM,
-// so it ends in the pool of the later write and was never in both.
-BOOST_FIXTURE_TEST_CASE(VmMovedByTwoIsInOnePool, Fixture) {
+// Two planners move the same VM to different pools. The VM has a single record,
+// so it must end up in the pool of the later write and never be in both.
+BOOST_FIXTURE_TEST_CASE(VmMovedConcurrentlyIsInOnePool, Fixture) {
   auto MoveTo = [&](const char *Pool) {
     return Writer_.change<Vm>(
         "vm-1",
@@ -111,7 +111,7 @@
       Store_.range("/l/config/vms/", Revision(0), Later)->Items_.size() == 1u);
 }
 
-BOOST_FIXTURE_TEST_CASE(StoreOutageIsAnErrorNotALoss, Fixture) {
+BOOST_FIXTURE_TEST_CASE(StoreOutageIsReportedAsUnavailable, Fixture) {
   Store_.Down_ = true;
   BOOST_TEST(Writer_.putSpec(teamWithLimit(5), std::nullopt, false, Later)
                  .status()
