--- a/src/store/bodydeadlines.h
+++ b/src/store/bodydeadlines.h
@@ -7,7 +7,7 @@
 
 namespace laburnumspread::store {
 
-/// Longest wait for the next part of a body before the read fails.
+/// Maximum time to wait for the next part of a body before the read fails.
 inline constexpr std::chrono::milliseconds BodyIdleTimeout{900};
 /// Limit on the whole body, counted from the head deadline. Enough for a 1 MB
 /// page, encoded as base64, at 1.2 Mbit/s.
--- a/src/store/etcdstore.h
+++ b/src/store/etcdstore.h
@@ -7,7 +7,8 @@
 
 namespace laburnumspread::store {
 
-/// Adapter to a store that speaks the etcd v3 JSON gateway over HTTP/1.1.
+/// Client of a store with the etcd v3 JSON gateway API over HTTP/1.1. For
+/// errors see KeyValueStore.
 class EtcdStore {
 public:
   EtcdStore(boost::asio::io_context &Io,
@@ -23,19 +24,19 @@
                                           TimePoint Deadline);
   absl::StatusOr<bool> keepLease(std::int64_t Lease, TimePoint Deadline);
 
-  /// Calls made since the start, a watch as one.
+  /// Number of calls made since the start. A watch counts as one.
   std::uint64_t calls() const { return Calls_; }
 
 private:
   absl::StatusOr<std::string> post(std::string_view Path, std::string Body,
                                    TimePoint Deadline);
-  /// As post(), for an answer that grows with the stored state; the body is
-  /// bounded by bodyDeadlines().
+  /// Like post(), for answers that grow with the stored state: the body is read
+  /// within the limits of bodyDeadlines().
   absl::StatusOr<std::string> postForLargeAnswer(std::string_view Path,
                                                  std::string Body,
                                                  TimePoint HeadDeadline);
-  /// Returns the body of a 200 answer. Switches to the next endpoint if the
-  /// exchange failed.
+  /// Returns the body of a 200 answer, or Unknown for other statuses. Switches
+  /// to the next server if the exchange failed.
   absl::StatusOr<std::string>
   bodyOf(absl::StatusOr<framework::http::Response> Answer);
   framework::http::Client &current() { return *Clients_[Current_]; }
--- a/src/store/internal/etcdstore.cpp
+++ b/src/store/internal/etcdstore.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// The gateway closes nothing while a watch is quiet; a longer silence than
-/// this ends the watch, so that a dead path costs at most this time. The
-/// periodic range of the caller bounds staleness more tightly.
+/// The gateway keeps an idle watch open. A watch without data for this time is
+/// ended, which bounds the delay caused by a dead connection. The caller's
+/// periodic range reads bound staleness more tightly.
 constexpr framework::clock::Duration WatchIdleTimeout =
     std::chrono::seconds(60);
 constexpr framework::clock::Duration WatchStartTimeout =
--- a/src/store/internal/gatewayjson.cpp
+++ b/src/store/internal/gatewayjson.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// The gateway writes 64-bit numbers as strings.
+/// Reads an integer; the gateway encodes 64-bit numbers as strings.
 std::int64_t numberAt(const json::object &Object, std::string_view Name) {
   const json::value *Value = Object.if_contains(Name);
   if (!Value)
@@ -51,7 +51,7 @@
   json::value Value =
       json::parse(json::string_view(Text.data(), Text.size()), Error);
   if (Error || !Value.is_object())
-    return absl::UnknownError("store sent an answer that is not JSON");
+    return absl::UnknownError("store answer is not a JSON object");
   return std::move(Value.get_object());
 }
 
@@ -223,7 +223,7 @@
     return fail(Answer.status());
   const json::object *Result = objectAt(*Answer, "result");
   if (!Result)
-    return fail(absl::UnknownError("store refused the watch"));
+    return fail(absl::UnknownError("watch answer has no result"));
   if (const json::value *Cancelled = Result->if_contains("canceled");
       Cancelled && Cancelled->is_bool() && Cancelled->get_bool())
     return fail(absl::OutOfRangeError("history has been compacted"));
--- a/src/store/internal/gatewayjson.h
+++ b/src/store/internal/gatewayjson.h
@@ -10,8 +10,8 @@
 
 namespace laburnumspread::store {
 
-// The bodies of the etcd v3 JSON gateway: keys and values are base64, 64-bit
-// numbers are strings, fields with a default value are left out.
+// Message bodies of the etcd v3 JSON gateway: keys and values are base64,
+// 64-bit numbers are strings, and fields with default values are omitted.
 
 constexpr std::size_t MaxWatchLineBytes = 64ULL * 1024 * 1024;
 
@@ -20,25 +20,26 @@
 std::string watchRequest(const std::string &Prefix, Revision Since);
 std::string leaseRequest(std::string_view Field, std::int64_t Value);
 
-/// Unknown when the text is no answer of the gateway.
+// The functions below return Unknown if the answer is not a JSON object.
+
 absl::StatusOr<RangeResult> readRangeAnswer(std::string_view Text);
 absl::StatusOr<TransactionResult> readTransactionAnswer(std::string_view Text);
 absl::StatusOr<std::int64_t> readLeaseId(std::string_view Text);
-/// Whether the lease lives.
+/// Whether the lease was renewed.
 absl::StatusOr<bool> readKeepAlive(std::string_view Text);
 
-/// Cuts a stream of JSON lines and hands out the watch answers in it.
+/// Splits a watch stream into JSON lines and passes each batch to the callback.
 class WatchReader {
 public:
   using OnBatch = std::function<bool(const WatchBatch &)>;
 
   explicit WatchReader(const OnBatch &Take) : Callback_(Take) {}
 
-  /// Returns whether to read on.
+  /// Consumes the next part of the stream. Returns whether to continue reading.
   bool feed(std::string_view Part);
 
-  /// Why the stream ended; ok while it goes on. OutOfRange when the history
-  /// has been compacted.
+  /// Error that ended the stream, otherwise ok. OutOfRange if the history has
+  /// been compacted, ResourceExhausted if a line is too long.
   const absl::Status &status() const { return Status_; }
 
 private:
--- a/src/store/kvstore.h
+++ b/src/store/kvstore.h
@@ -28,7 +28,8 @@
   Revision StoreRevision_;
 };
 
-/// Holds when the key's last write has this revision; 0 means "no such key".
+/// Condition that the key was last written at this revision; 0 means that the
+/// key does not exist.
 struct Compare {
   std::string Key_;
   Revision ModRevision_;
@@ -37,11 +38,11 @@
 struct Put {
   std::string Key_;
   std::string Value_;
-  /// Lease that the key dies with; 0 for none.
+  /// Lease whose end deletes the key; 0 for none.
   std::int64_t Lease_ = 0;
 };
 
-/// Writes that take effect together if all compares hold.
+/// Writes that take effect atomically if all compares hold.
 struct Transaction {
   std::vector<Compare> Compares_;
   std::vector<Put> Puts_;
@@ -53,37 +54,39 @@
   Revision StoreRevision_;
 };
 
-/// Writes seen by a watch, in order.
+/// Writes reported by a watch, in order.
 struct WatchBatch {
   std::vector<KeyValue> Puts_;
   std::vector<std::string> Deletes_;
   Revision StoreRevision_;
 };
 
-/// The platform's key-value service. Errors of a write: FailedPrecondition is
-/// never returned (see Succeeded_); Unavailable with "not sent" means that
-/// nothing was written; any other error leaves open whether it took effect.
+/// The platform's key-value service. Errors of commit(): Unavailable with "not
+/// sent" means that nothing was written; after any other error it is unknown
+/// whether the transaction took effect. Failed compares are not an error, see
+/// TransactionResult::Succeeded_.
 template <typename T>
 concept KeyValueStore = requires(
     T &S, const std::string &Prefix, Revision Since, const Transaction &Txn,
     TimePoint Deadline, const std::function<bool(const WatchBatch &)> &OnBatch,
     std::int64_t Lease) {
-  /// Keys under a prefix whose last write is at or after \p Since. \p Deadline
-  /// applies to the head of the answer; the body grows with the stored state
-  /// and is read while data arrives, within the limits of bodyDeadlines().
+  /// Keys under a prefix that were last written at or after \p Since.
+  /// \p Deadline applies to the head of the answer; the body grows with the
+  /// stored state and is read while data arrives, within the limits of
+  /// bodyDeadlines().
   {
     S.range(Prefix, Since, Deadline)
     } -> std::same_as<absl::StatusOr<RangeResult>>;
   {
     S.commit(Txn, Deadline)
     } -> std::same_as<absl::StatusOr<TransactionResult>>;
-  /// Blocks while the watch lasts. OutOfRange when the history from \p Since
-  /// has been compacted.
+  /// Blocks until the watch ends. Returns OutOfRange if the history from
+  /// \p Since has been compacted.
   { S.watch(Prefix, Since, OnBatch) } -> std::same_as<absl::Status>;
   {
     S.grantLease(Lease, Deadline)
     } -> std::same_as<absl::StatusOr<std::int64_t>>;
-  /// Returns whether the lease still lives.
+  /// Renews a lease. Returns false if it has expired.
   { S.keepLease(Lease, Deadline) } -> std::same_as<absl::StatusOr<bool>>;
 };
 
