--- a/src/fleet/fleettypes.h
+++ b/src/fleet/fleettypes.h
@@ -18,14 +18,15 @@
 using ZoneName = framework::ids::StrongName<struct ZoneNameTag>;
 using RackName = framework::ids::StrongName<struct RackNameTag>;
 
-/// Revision of the platform's store. Grows with every write to it.
+/// Revision of the platform's store, increased by every write.
 using Revision = framework::ids::StrongNumber<struct RevisionTag>;
-/// Counts the changes of one object's spec.
+/// Number of changes of an object's spec.
 using Generation = framework::ids::StrongNumber<struct GenerationTag>;
-/// Start time of a process in microseconds; a later start has a greater one.
+/// Start time of a process in microseconds since the epoch, so that a restarted
+/// process has a larger value.
 using Incarnation = framework::ids::StrongNumber<struct IncarnationTag>;
 
-/// Places for one request each on an endpoint.
+/// Number of requests that an endpoint can run concurrently.
 using Slots = framework::ids::StrongNumber<struct SlotsTag, std::uint32_t>;
 using Megabytes =
     framework::ids::StrongNumber<struct MegabytesTag, std::uint64_t>;
@@ -34,7 +35,7 @@
 using Accelerators =
     framework::ids::StrongNumber<struct AcceleratorsTag, std::uint32_t>;
 
-/// Resources that a request asks for or that a VM has.
+/// Resources required by a request or provided by a VM.
 struct Size {
   MilliCpus Cpus_;
   Megabytes Memory_;
@@ -49,8 +50,7 @@
 enum class RequestClass { Urgent, Normal, Batch };
 std::string_view nameOf(RequestClass Class);
 
-/// What is known of a request's execution. The caller reads it in
-/// `Request-Outcome`.
+/// Whether a request was executed. Sent to the caller in `Request-Outcome`.
 enum class Outcome { Ran, NotRun, Unknown };
 std::string_view nameOf(Outcome Value);
 
--- a/src/fleet/internal/resourcejson.cpp
+++ b/src/fleet/internal/resourcejson.cpp
@@ -19,7 +19,7 @@
 constexpr std::int64_t MaxVms = 1'000'000;
 constexpr std::size_t Sha256HexLength = 64;
 
-/// Names of an enumeration's values, in their order.
+/// Names of the values of an enumeration, in declaration order.
 template <typename Enum, std::size_t N> struct EnumNames {
   std::array<std::string_view, N> Names_;
 
@@ -63,7 +63,7 @@
   return Default;
 }
 
-/// A budget is written as "3" or "10%".
+/// Parses a budget such as "3" or "10%".
 std::optional<CountOrPercent> parseAmount(std::string_view Text) {
   CountOrPercent Result;
   const auto Parsed =
--- a/src/fleet/resourcejson.h
+++ b/src/fleet/resourcejson.h
@@ -8,14 +8,15 @@
 
 namespace laburnumspread::fleet {
 
-/// Reads the spec of a resource; every fault is noted with its field path.
+/// Reads the spec of a resource. Errors are reported through the reader with
+/// their field path.
 PoolSpec readSpec(framework::settings::JsonReader &Reader, const Pool *);
 VmSpec readSpec(framework::settings::JsonReader &Reader, const Vm *);
 TeamSpec readSpec(framework::settings::JsonReader &Reader, const Team *);
 KeySpec readSpec(framework::settings::JsonReader &Reader, const Key *);
 WaveSpec readSpec(framework::settings::JsonReader &Reader, const Wave *);
 
-/// Reads a status that this program has written before.
+/// Reads a status written by toJson().
 NoStatus readStatus(framework::settings::JsonReader &Reader, const NoStatus *);
 VmStatus readStatus(framework::settings::JsonReader &Reader, const VmStatus *);
 WaveStatus readStatus(framework::settings::JsonReader &Reader,
@@ -31,12 +32,12 @@
 boost::json::object toJson(const WaveStatus &Status);
 boost::json::object toJson(const Condition &Value);
 
-/// A name of an object: 1 to 63 of a-z, 0-9, '-' and '.', starting with a
-/// letter or digit.
+/// Whether a name is valid: 1 to 63 characters of a-z, 0-9, '-' and '.',
+/// starting with a letter or digit.
 bool validName(std::string_view Name);
 
-/// Reads a whole resource as an operator sends it (`metadata.name`, `spec`).
-/// A sent `status` is left aside: only the system writes it.
+/// Reads a resource submitted by an operator (`metadata.name`, `spec`). A
+/// `status` is ignored, since only the system writes it.
 template <typename T>
 T readResource(const boost::json::value &Document,
                framework::settings::FieldErrors &Errors) {
@@ -58,7 +59,7 @@
   return Result;
 }
 
-/// Reads a resource as it stands in the store.
+/// Reads a resource in its stored form.
 template <typename T>
 T readStored(std::string_view Name, const boost::json::value &Document,
              framework::settings::FieldErrors &Errors) {
@@ -77,7 +78,7 @@
   return Result;
 }
 
-/// The form in which a resource stands in the store.
+/// Stored form of a resource.
 template <typename T> boost::json::object toStored(const T &Object) {
   boost::json::object Result;
   Result["generation"] = Object.Metadata_.Generation_.value();
@@ -89,7 +90,7 @@
   return Result;
 }
 
-/// The form in which operators see a resource.
+/// Form of a resource in the operator API.
 template <typename T> boost::json::object toJson(const T &Object) {
   boost::json::object Meta;
   Meta["name"] = Object.Metadata_.Name_;
--- a/src/fleet/resources.h
+++ b/src/fleet/resources.h
@@ -13,14 +13,13 @@
 struct Metadata {
   std::string Name_;
   Generation Generation_;
-  /// Rises with every change of the object, its status included.
+  /// Increases with every change of the object, including its status.
   Revision ResourceVersion_;
 };
 
 enum class ConditionStatus { True, False, Unknown };
 
-/// One statement of a controller about an object, valid for the generation
-/// that it names.
+/// Statement of a controller about an object, valid for ObservedGeneration_.
 struct Condition {
   std::string Type_;
   ConditionStatus Status_ = ConditionStatus::Unknown;
@@ -30,19 +29,19 @@
   bool operator==(const Condition &) const = default;
 };
 
-/// Number of VMs, absolute or in percent of a total.
+/// Number of VMs, either absolute or as a percentage of a total.
 struct CountOrPercent {
   std::uint32_t Value_ = 0;
   bool Percent_ = false;
 
-  /// VMs out of \p Total, rounded down.
+  /// Absolute number for a total of \p Total VMs, rounded down.
   std::uint32_t resolve(std::uint32_t Total) const {
     return Percent_ ? Total * Value_ / 100 : Value_;
   }
   bool operator==(const CountOrPercent &) const = default;
 };
 
-/// How many VMs may be unavailable at once, whatever the reason.
+/// Maximum number of VMs that may be unavailable at once, for any reason.
 struct AvailabilityBudget {
   CountOrPercent Pool_{10, true};
   std::optional<CountOrPercent> Zone_;
@@ -53,9 +52,9 @@
   AvailabilityBudget Budget_;
   std::uint32_t MinimumVms_ = 0;
   std::uint32_t QueueLimit_ = 1000;
-  /// Largest part of the pool's endpoints that may be ejected at once.
+  /// Maximum percentage of the pool's endpoints that may be ejected at once.
   std::uint32_t EjectionCapPercent_ = 50;
-  /// The pool that lends its VMs to the others.
+  /// Whether this pool lends its VMs to other pools.
   bool Spare_ = false;
 };
 
@@ -66,40 +65,40 @@
   std::string Address_;
   Slots Slots_{8};
   Size Size_;
-  /// Set by an operator to take the VM out of service by hand.
+  /// Set by an operator to take the VM out of service.
   bool Drain_ = false;
 };
 
-/// Life of a VM as the planner drives it.
+/// Maintenance phase of a VM, controlled by the planner.
 enum class VmPhase { Active, Leaving, Rebooting, Probation, Failed };
 std::string_view nameOf(VmPhase Phase);
 
 struct VmStatus {
   VmPhase Phase_ = VmPhase::Active;
   TimePoint Since_{};
-  /// The wave that the VM is in; empty when an operator drains it by hand.
+  /// Wave that maintains the VM; empty if an operator drains it.
   WaveName Wave_;
-  /// Boot id seen before the reboot was asked for. The reboot is done when the
-  /// platform shows another one, so that it is never repeated.
+  /// Boot id before the reboot was requested. The reboot is complete when the
+  /// platform reports a different one, so it is never repeated.
   std::string BootIdBeforeReboot_;
-  /// Waves under way that have maintained the VM already.
+  /// Active waves that have already maintained the VM.
   std::vector<WaveName> DoneWaves_;
-  /// Pool that the VM works for at present, if not for its declared one.
+  /// Pool that the VM is lent to; empty while it serves its declared pool.
   PoolName LentTo_;
   TimePoint LentSince_{};
   bool operator==(const VmStatus &) const = default;
 };
 
 struct TeamSpec {
-  /// Weight of the team when a pool is full.
+  /// Weight of the team in the fair shares of a full pool.
   std::uint32_t Share_ = 1;
-  /// Largest number of requests running at once over the whole fleet.
+  /// Maximum number of requests running at once in the whole fleet.
   std::uint32_t Limit_ = 0;
 };
 
 struct KeySpec {
   TeamName Team_;
-  /// SHA-256 of the secret, lower-case hexadecimal.
+  /// SHA-256 of the secret in lower-case hexadecimal.
   std::string Sha256_;
 };
 
@@ -107,15 +106,15 @@
 std::string_view nameOf(WaveCommand Command);
 
 struct WaveSpec {
-  /// Pools to maintain; all when empty.
+  /// Pools to maintain; empty means all pools.
   std::vector<PoolName> Pools_;
   std::uint32_t FirstBatch_ = 1;
   std::uint32_t MaximumBatch_ = 1000;
-  /// Failed VMs at which the wave halts by itself.
+  /// Number of failed VMs at which the wave halts automatically.
   std::uint32_t HaltAfterFailures_ = 2;
   WaveCommand Command_ = WaveCommand::Run;
-  /// Raised by an operator to roll on after a halt: failures up to this count
-  /// are accepted.
+  /// Number of failures that an operator accepts so that the wave continues
+  /// after a halt.
   std::uint32_t AcceptedFailures_ = 0;
 };
 
@@ -139,8 +138,8 @@
   bool operator==(const NoStatus &) const = default;
 };
 
-/// A declared object: what operators want (spec) and what the system has made
-/// of it (status).
+/// A declared object with its desired state (spec), set by operators, and its
+/// observed state (status), set by the system.
 template <typename SpecT, typename StatusT> struct Resource {
   using Spec = SpecT;
   using Status = StatusT;
@@ -155,7 +154,7 @@
 using Key = Resource<KeySpec, NoStatus>;
 using Wave = Resource<WaveSpec, WaveStatus>;
 
-/// The one pool that a VM works for.
+/// The pool that a VM currently serves.
 inline const PoolName &currentPool(const Vm &Machine) {
   return Machine.Status_.LentTo_.empty() ? Machine.Spec_.Pool_
                                          : Machine.Status_.LentTo_;
@@ -165,7 +164,7 @@
 constexpr Kind AllKinds[] = {Kind::Pools, Kind::Vms, Kind::Teams, Kind::Keys,
                              Kind::Waves};
 
-/// Plural, as in the resource interface.
+/// Plural name, as used in the operator API.
 std::string_view nameOf(Kind Value);
 std::optional<Kind> parseKind(std::string_view Name);
 
--- a/src/fleet/tests/resourcejsontest.cpp
+++ b/src/fleet/tests/resourcejsontest.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(StoredFormReadsBackEqual) {
+BOOST_AUTO_TEST_CASE(StoredFormRoundTrips) {
   FieldErrors Errors;
   Vm Machine = readResource<Vm>(*parseJson(R"({
     // comments are welcome
@@ -33,7 +33,7 @@
   BOOST_TEST((Again.Status_ == Machine.Status_));
 }
 
-BOOST_AUTO_TEST_CASE(EveryFaultIsNamedWithItsPath) {
+BOOST_AUTO_TEST_CASE(EveryErrorIsReportedWithItsPath) {
   const FieldErrors Errors = faultsOf<Team>(
       R"({"metadata": {"name": "Lunch"}, "spec": {"limit": -1, "shares": 2}})");
   BOOST_TEST(describe(Errors) ==
@@ -42,7 +42,7 @@
              "spec.shares: unknown field");
 }
 
-BOOST_AUTO_TEST_CASE(BudgetTakesCountsAndPercentagesOnly) {
+BOOST_AUTO_TEST_CASE(BudgetAcceptsOnlyCountsAndPercentages) {
   BOOST_TEST(describe(faultsOf<Pool>(R"({"metadata": {"name": "p"},
       "spec": {"budget": {"maxUnavailable": "101%"}}})"))
                  .starts_with("spec.budget.maxUnavailable: must be a count"));
@@ -52,13 +52,13 @@
   BOOST_TEST((CountOrPercent{25, true}.resolve(10)) == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(KeyTakesAHashNeverASecret) {
+BOOST_AUTO_TEST_CASE(KeyAcceptsOnlyAHashOfTheSecret) {
   BOOST_TEST(describe(faultsOf<Key>(R"({"metadata": {"name": "k"},
       "spec": {"team": "t", "sha256": "open sesame"}})")) ==
              "spec.sha256: must be 64 lower-case hexadecimal digits");
 }
 
-BOOST_AUTO_TEST_CASE(SyntaxErrorNamesTheLine) {
+BOOST_AUTO_TEST_CASE(SyntaxErrorReportsTheLine) {
   const auto Parsed = parseJson("{\n  \"a\": 1,\n  oops\n}");
   BOOST_TEST(!Parsed.ok());
   BOOST_TEST(Parsed.status().message().find("line 3") !=
