--- a/src/config/changelog.h
+++ b/src/config/changelog.h
@@ -15,7 +15,7 @@
 class ChangeLog {
 public:
   /// Maximum number of changes kept.
-  static constexpr std::size_t Kept = 1024;
+  static constexpr std::size_t MaxChanges = 1024;
 
   void add(std::vector<Change> Changes, Revision Through);
 
--- a/src/config/internal/changelog.cpp
+++ b/src/config/internal/changelog.cpp
@@ -13,7 +13,7 @@
   }
   for (Change &Item : Changes)
     Changes_.push_back(std::move(Item));
-  while (Changes_.size() > Kept) {
+  while (Changes_.size() > MaxChanges) {
     CompactedThrough_ = Changes_.front().Revision_;
     Changes_.pop_front();
   }
--- a/src/config/internal/objectwriter.cpp
+++ b/src/config/internal/objectwriter.cpp
@@ -25,28 +25,28 @@
 
 absl::StatusOr<LoadedShard> loadShard(const std::string &Key,
                                       const store::RangeResult &Read) {
-  LoadedShard Open;
-  Open.NextResourceVersion_ = Read.StoreRevision_.next();
-  Open.Stored_.Key_ = Key;
+  LoadedShard Shard;
+  Shard.NextResourceVersion_ = Read.StoreRevision_.next();
+  Shard.Stored_.Key_ = Key;
   const store::KeyValue *Found = findKey(Read, Key);
   if (!Found)
-    return Open;
-  Open.Stored_ = *Found;
+    return Shard;
+  Shard.Stored_ = *Found;
   absl::StatusOr<json::value> Document =
       framework::settings::parseJson(Found->Value_);
   if (!Document.ok() || !Document->is_object() ||
       !Document->get_object().contains("items"))
     return absl::DataLossError("stored value " + Key + " is malformed");
-  Open.Items_ = std::move(Document->get_object()["items"].as_object());
+  Shard.Items_ = std::move(Document->get_object()["items"].as_object());
   if (Found->Value_.size() > MaxShardBytes)
     return absl::ResourceExhaustedError("stored value " + Key +
                                         " exceeds the size limit");
-  return Open;
+  return Shard;
 }
 
-std::string serializeShard(const LoadedShard &Open) {
+std::string serializeShard(const LoadedShard &Shard) {
   json::object Whole;
-  Whole["items"] = Open.Items_;
+  Whole["items"] = Shard.Items_;
   // Distinguishes this write from all others, even those of equal content.
   Whole["write"] = framework::digest::randomHex(8);
   return json::serialize(Whole);
--- a/src/config/objectwriter.h
+++ b/src/config/objectwriter.h
@@ -30,7 +30,7 @@
 /// DataLoss if it cannot be decoded and ResourceExhausted if it is too large.
 absl::StatusOr<LoadedShard> loadShard(const std::string &Key,
                                       const store::RangeResult &Read);
-std::string serializeShard(const LoadedShard &Open);
+std::string serializeShard(const LoadedShard &Shard);
 
 /// Whether \p Read holds the value \p Wanted under \p Key. Used after a write
 /// whose answer was lost to find out whether it took effect.
@@ -118,34 +118,34 @@
          bool DryRun, framework::clock::TimePoint Deadline,
          const std::vector<store::Compare> &Guards = {}) {
     const std::string Key = shardKey(Prefix_, fleet::KindOf<T>::Value, Name);
-    for (int Try = 0; Try < MaxAttempts; ++Try) {
+    for (int Attempt = 0; Attempt < MaxAttempts; ++Attempt) {
       absl::StatusOr<store::RangeResult> Read =
           Store_.range(Key, Revision(0), Deadline);
       if (!Read.ok())
         return absl::UnavailableError(std::string(Read.status().message()));
-      absl::StatusOr<LoadedShard> Open = loadShard(Key, *Read);
-      if (!Open.ok())
-        return Open.status();
-      std::optional<T> Object = readFrom<T>(*Open, Name);
+      absl::StatusOr<LoadedShard> Shard = loadShard(Key, *Read);
+      if (!Shard.ok())
+        return Shard.status();
+      std::optional<T> Object = readFrom<T>(*Shard, Name);
       const boost::json::value Before = stored(Object);
-      std::optional<T> Last = Object;
+      std::optional<T> Previous = Object;
       if (absl::Status Edited = Edit(Object); !Edited.ok())
         return Edited;
       if (stored(Object) == Before)
-        return WriteResult<T>{Object.value_or(T()), Open->Stored_.ModRevision_,
+        return WriteResult<T>{Object.value_or(T()), Shard->Stored_.ModRevision_,
                               false};
       if (Object)
-        Object->Metadata_.ResourceVersion_ = Open->NextResourceVersion_;
+        Object->Metadata_.ResourceVersion_ = Shard->NextResourceVersion_;
       if (DryRun)
-        return WriteResult<T>{Object ? *Object : *Last,
-                              Open->Stored_.ModRevision_, true};
-      writeInto(*Open, Name, Object);
+        return WriteResult<T>{Object ? *Object : *Previous,
+                              Shard->Stored_.ModRevision_, true};
+      writeInto(*Shard, Name, Object);
       absl::StatusOr<std::optional<Revision>> Done =
-          commit(Key, *Open, Deadline, Guards);
+          commit(Key, *Shard, Deadline, Guards);
       if (!Done.ok())
         return Done.status();
       if (*Done)
-        return WriteResult<T>{Object ? *Object : *Last, **Done, true};
+        return WriteResult<T>{Object ? *Object : *Previous, **Done, true};
     }
     return absl::UnavailableError("not written: too many concurrent writers");
   }
@@ -167,9 +167,9 @@
   }
 
   template <typename T>
-  static std::optional<T> readFrom(const LoadedShard &Open,
+  static std::optional<T> readFrom(const LoadedShard &Shard,
                                    const std::string &Name) {
-    const boost::json::value *Item = Open.Items_.if_contains(Name);
+    const boost::json::value *Item = Shard.Items_.if_contains(Name);
     if (!Item)
       return std::nullopt;
     framework::settings::FieldErrors Ignored;
@@ -184,24 +184,24 @@
   }
 
   template <typename T>
-  static void writeInto(LoadedShard &Open, const std::string &Name,
+  static void writeInto(LoadedShard &Shard, const std::string &Name,
                         const std::optional<T> &Object) {
     if (Object)
-      Open.Items_[Name] = fleet::toStored(*Object);
+      Shard.Items_[Name] = fleet::toStored(*Object);
     else
-      Open.Items_.erase(Name);
+      Shard.Items_.erase(Name);
   }
 
   /// Returns the revision of the write, or nullopt if a concurrent write came
   /// first.
   absl::StatusOr<std::optional<Revision>>
-  commit(const std::string &Key, const LoadedShard &Open,
+  commit(const std::string &Key, const LoadedShard &Shard,
          framework::clock::TimePoint Deadline,
          const std::vector<store::Compare> &Guards) {
-    const std::string Text = serializeShard(Open);
+    const std::string Text = serializeShard(Shard);
     store::Transaction Txn;
     Txn.Compares_ = Guards;
-    Txn.Compares_.push_back({Key, Open.Stored_.ModRevision_});
+    Txn.Compares_.push_back({Key, Shard.Stored_.ModRevision_});
     Txn.Puts_.push_back({Key, Text});
     absl::StatusOr<store::TransactionResult> Result =
         Store_.commit(Txn, Deadline);
@@ -214,8 +214,9 @@
 
   absl::StatusOr<std::optional<Revision>>
   readBack(const std::string &Key, const std::string &Text,
-           framework::clock::TimePoint Deadline, const absl::Status &Why) {
-    for (int Try = 0; Try < MaxAttempts; ++Try) {
+           framework::clock::TimePoint Deadline,
+           const absl::Status &CommitError) {
+    for (int Attempt = 0; Attempt < MaxAttempts; ++Attempt) {
       absl::StatusOr<store::RangeResult> Read =
           Store_.range(Key, Revision(0), Deadline);
       if (!Read.ok())
@@ -228,7 +229,7 @@
     }
     return absl::UnknownError("the store did not answer and cannot be read; "
                               "the change may have taken effect: " +
-                              std::string(Why.message()));
+                              std::string(CommitError.message()));
   }
 
   Store &Store_;
--- a/src/config/tests/configtabletest.cpp
+++ b/src/config/tests/configtabletest.cpp
@@ -27,10 +27,10 @@
   store::RangeResult readAll() {
     return *Store_.range("/l/", Revision(0), Later);
   }
-  std::vector<Change> take(const store::RangeResult &Read) {
+  std::vector<Change> apply(const store::RangeResult &Read) {
     return Table_.apply(Read.Items_, Read.StoreRevision_);
   }
-  std::uint32_t limitInForce(const char *Name) const {
+  std::uint32_t activeLimit(const char *Name) const {
     const fleet::Team *Found = Table_.tables().find<fleet::Team>(Name);
     return Found ? Found->Spec_.Limit_ : 0;
   }
@@ -44,22 +44,22 @@
   put("orders", 1);
   const store::RangeResult Old = readAll();
   put("orders", 2);
-  BOOST_TEST(take(readAll()).size() == 1u);
-  BOOST_TEST(take(Old).empty());
-  BOOST_TEST(limitInForce("orders") == 2u);
+  BOOST_TEST(apply(readAll()).size() == 1u);
+  BOOST_TEST(apply(Old).empty());
+  BOOST_TEST(activeLimit("orders") == 2u);
   BOOST_TEST(Table_.revision() == Revision(2));
 }
 
 BOOST_FIXTURE_TEST_CASE(DeletedObjectIsReportedOnceAndStaysDeleted, Fixture) {
   put("orders", 1);
-  take(readAll());
+  apply(readAll());
   const store::RangeResult Old = readAll();
   BOOST_REQUIRE(
       Writer_.remove<fleet::Team>("orders", std::nullopt, false, Later).ok());
-  const std::vector<Change> Changes = take(readAll());
+  const std::vector<Change> Changes = apply(readAll());
   BOOST_REQUIRE(Changes.size() == 1u);
   BOOST_TEST((Changes[0].Type_ == ChangeType::Deleted));
-  take(Old);
+  apply(Old);
   BOOST_TEST(!Table_.tables().find<fleet::Team>("orders"));
 }
 
@@ -69,7 +69,7 @@
 BOOST_FIXTURE_TEST_CASE(RolledBackStoreIsRejected, Fixture) {
   put("orders", 1);
   put("orders", 2);
-  take(readAll());
+  apply(readAll());
   BOOST_TEST(!Table_.detectStoreRollback(Revision(2)));
   BOOST_TEST(Table_.detectStoreRollback(Revision(1)));
   BOOST_TEST(Table_.detectStoreRollback(Revision(9)));
@@ -78,18 +78,18 @@
 BOOST_FIXTURE_TEST_CASE(MalformedValueKeepsThePreviousOneActive, Fixture) {
   put("orders", 7);
   store::RangeResult Read = readAll();
-  take(Read);
+  apply(Read);
   Read.Items_[0].Value_ = "{not json";
   Read.Items_[0].ModRevision_ = Revision(9);
-  BOOST_TEST(take(Read).empty());
-  BOOST_TEST(limitInForce("orders") == 7u);
+  BOOST_TEST(apply(Read).empty());
+  BOOST_TEST(activeLimit("orders") == 7u);
   BOOST_TEST(Table_.unreadableValues() == 1u);
 }
 
 BOOST_FIXTURE_TEST_CASE(LaggingPeerGetsMissingItems, Fixture) {
   put("orders", 1);
   put("menus", 2);
-  take(readAll());
+  apply(readAll());
   ConfigTable Peer("/l/");
   Peer.apply(Table_.itemsSince(Peer.revision()), Table_.revision());
   BOOST_TEST(Peer.revision() == Table_.revision());
@@ -102,10 +102,11 @@
   Log.add({}, Revision(10));
   BOOST_TEST(!Log.since(Kind::Teams, Revision(9)));
   BOOST_TEST(Log.since(Kind::Teams, Revision(10))->empty());
-  for (std::uint64_t R = 11; R < 11 + ChangeLog::Kept + 5; ++R)
+  for (std::uint64_t R = 11; R < 11 + ChangeLog::MaxChanges + 5; ++R)
     Log.add({{ChangeType::Modified, Kind::Teams, "t", Revision(R), "{}"}},
             Revision(R));
   BOOST_TEST(!Log.since(Kind::Teams, Revision(14)));
-  BOOST_TEST(Log.since(Kind::Teams, Revision(15))->size() == ChangeLog::Kept);
+  BOOST_TEST(Log.since(Kind::Teams, Revision(15))->size() ==
+             ChangeLog::MaxChanges);
   BOOST_TEST(Log.since(Kind::Pools, Revision(15))->empty());
 }
--- a/src/entry/configservice.h
+++ b/src/entry/configservice.h
@@ -37,8 +37,8 @@
   /// Requests a snapshot from \p Peer if its heartbeat reports a newer
   /// configuration or view.
   void requestNewerConfig(const MemberId &Peer, const peers::Heartbeat &Beat);
-  void handle(const peers::Sender &From, const peers::SnapshotRequest &Asked);
-  void handle(const peers::Sender &From, const peers::Snapshot &Part);
+  void handle(const peers::Sender &From, const peers::SnapshotRequest &Request);
+  void handle(const peers::Sender &From, const peers::Snapshot &Snapshot);
 
   std::string viewKey() const;
   std::string plannerKey() const;
--- a/src/entry/forwarder.h
+++ b/src/entry/forwarder.h
@@ -52,7 +52,7 @@
       : Io_(Io), State_(State) {}
 
   /// Sends the request and reads the head and first part of the answer.
-  ForwardResult forward(const WorkRequest &Request, const Placement &At,
+  ForwardResult forward(const WorkRequest &Request, const Placement &Assigned,
                         RequestBody &Body, CancelToken &Cancel);
 
   /// Returns the connection to the pool if it is reusable.
--- a/src/entry/internal/configservice.cpp
+++ b/src/entry/internal/configservice.cpp
@@ -24,9 +24,9 @@
 
 /// Between half and all of \p Pause, so that entries that lost the store at the
 /// same time do not reconnect at the same time.
-Duration jittered(Duration Pause) {
+Duration jittered(Duration Backoff) {
   static std::mt19937_64 Random(std::random_device{}());
-  return Pause / 2 + Duration(Random() % (Pause.count() / 2 + 1));
+  return Backoff / 2 + Duration(Random() % (Backoff.count() / 2 + 1));
 }
 
 } // namespace
@@ -45,10 +45,10 @@
 }
 
 bool ConfigService::rejectsStoreRevision(fleet::Revision StoreRevision) {
-  const bool Before = State_.Config_.storeRolledBack();
+  const bool WasRejected = State_.Config_.storeRolledBack();
   if (!State_.Config_.detectStoreRollback(StoreRevision))
     return false;
-  if (!Before) {
+  if (!WasRejected) {
     framework::log::error("store.went_back")
         .field("store_revision", StoreRevision.value())
         .field("revision_in_force", State_.Config_.revision().value());
@@ -83,16 +83,16 @@
 }
 
 void ConfigService::watchLoop() {
-  Duration Pause = InitialWatchBackoff;
+  Duration Backoff = InitialWatchBackoff;
   while (true) {
     const fleet::Revision From = State_.Config_.revision().next();
-    bool Heard = false;
+    bool ReceivedBatch = false;
     const absl::Status Ended =
         Store_.watch(State_.Settings_.StorePrefix_, From,
                      [&](const store::WatchBatch &Batch) {
                        if (rejectsStoreRevision(Batch.StoreRevision_))
                          return false;
-                       Heard = true;
+                       ReceivedBatch = true;
                        applyItems(Batch.Puts_, Batch.StoreRevision_);
                        for (const std::string &Key : Batch.Deletes_)
                          if (Key == plannerKey())
@@ -104,8 +104,9 @@
     // the changes that the watch can no longer send.
     framework::log::debug("store.watch_ended")
         .field("reason", std::string(Ended.message()));
-    Pause = Heard ? InitialWatchBackoff : std::min(2 * Pause, MaxWatchBackoff);
-    sleepFor(jittered(Pause));
+    Backoff = ReceivedBatch ? InitialWatchBackoff
+                            : std::min(2 * Backoff, MaxWatchBackoff);
+    sleepFor(jittered(Backoff));
   }
 }
 
@@ -142,26 +143,27 @@
 
 void ConfigService::requestNewerConfig(const MemberId &Peer,
                                        const peers::Heartbeat &Beat) {
-  const bool Later = Beat.ConfigRevision_ > State_.Config_.revision() ||
+  const bool Newer = Beat.ConfigRevision_ > State_.Config_.revision() ||
                      Beat.View_ > State_.View_.Number_;
-  if (!Later || State_.now() - SnapshotRequestedAt_ < SnapshotRequestInterval)
+  if (!Newer || State_.now() - SnapshotRequestedAt_ < SnapshotRequestInterval)
     return;
   SnapshotRequestedAt_ = State_.now();
   State_.Send_(Peer, peers::SnapshotRequest{State_.Config_.revision()});
 }
 
 void ConfigService::handle(const peers::Sender &From,
-                           const peers::SnapshotRequest &Asked) {
-  peers::Snapshot Part;
-  Part.Items_ = State_.Config_.itemsSince(Asked.Since_);
-  Part.Through_ = State_.Config_.revision();
+                           const peers::SnapshotRequest &Request) {
+  peers::Snapshot Snapshot;
+  Snapshot.Items_ = State_.Config_.itemsSince(Request.Since_);
+  Snapshot.Through_ = State_.Config_.revision();
   if (!ViewItem_.Key_.empty())
-    Part.Items_.push_back(ViewItem_);
-  State_.Send_(From.Id_, Part);
+    Snapshot.Items_.push_back(ViewItem_);
+  State_.Send_(From.Id_, Snapshot);
 }
 
-void ConfigService::handle(const peers::Sender &, const peers::Snapshot &Part) {
-  applyItems(Part.Items_, Part.Through_);
+void ConfigService::handle(const peers::Sender &,
+                           const peers::Snapshot &Snapshot) {
+  applyItems(Snapshot.Items_, Snapshot.Through_);
 }
 
 } // namespace laburnumspread::entry
--- a/src/entry/internal/forwarder.cpp
+++ b/src/entry/internal/forwarder.cpp
@@ -25,13 +25,13 @@
 Forwarder::ConnectionPtr
 Forwarder::takeIdleConnection(const std::string &Address, bool Repeatable) {
   auto &Conns = Idle_[Address];
-  const TimePoint Oldest =
+  const TimePoint MinProvenAt =
       State_.now() -
       (Repeatable ? MaxIdleForRepeatable : MaxIdleForNonRepeatable);
   while (!Conns.empty()) {
     ConnectionPtr Conn = std::move(Conns.back());
     Conns.pop_back();
-    if (Conn->provenAt() >= Oldest && !Conn->stale())
+    if (Conn->provenAt() >= MinProvenAt && !Conn->stale())
       return Conn;
   }
   return nullptr;
@@ -72,17 +72,17 @@
 absl::Status Forwarder::sendRemainingBody(http::Connection &Conn,
                                           RequestBody &Body, TimePoint Deadline,
                                           bool &CallerFailed) {
-  std::string Part;
+  std::string Chunk;
   for (bool More = Body.Rest_ != nullptr; More;) {
-    Part.clear();
+    Chunk.clear();
     const absl::StatusOr<bool> Next =
-        Body.Rest_->readSome(Part, ReadChunkBytes);
+        Body.Rest_->readSome(Chunk, ReadChunkBytes);
     if (!Next.ok()) {
       CallerFailed = true;
       return Next.status();
     }
     More = *Next;
-    if (absl::Status Sent = Conn.write(Part, Deadline); !Sent.ok())
+    if (absl::Status Sent = Conn.write(Chunk, Deadline); !Sent.ok())
       return Sent;
   }
   return absl::OkStatus();
@@ -114,18 +114,18 @@
 }
 
 ForwardResult Forwarder::forward(const WorkRequest &Request,
-                                 const Placement &At, RequestBody &Body,
+                                 const Placement &Assigned, RequestBody &Body,
                                  CancelToken &Cancel) {
   ForwardResult Result;
-  const std::string Address = State_.Endpoints_.at(At.Endpoint_).Address_;
+  const std::string Address = State_.Endpoints_.at(Assigned.Endpoint_).Address_;
   Result.Connection_ = takeIdleConnection(Address, Request.Repeatable_);
   if (!Result.Connection_) {
-    auto Fresh = connect(Address, Request.Deadline_);
-    if (!Fresh.ok()) {
-      Result.Reason_ = std::string(Fresh.status().message());
+    auto NewConn = connect(Address, Request.Deadline_);
+    if (!NewConn.ok()) {
+      Result.Reason_ = std::string(NewConn.status().message());
       return Result;
     }
-    Result.Connection_ = std::move(*Fresh);
+    Result.Connection_ = std::move(*NewConn);
   }
   // If this process was paused after it acquired the permits, the deadline may
   // have passed, and other requests may hold the permits by now.
--- a/src/entry/internal/membershipservice.cpp
+++ b/src/entry/internal/membershipservice.cpp
@@ -84,16 +84,16 @@
 /// Adds as many changed usage rows as the control traffic budget allows: a row
 /// for every team in every heartbeat would take 10 KB at the design size. Rows
 /// of a lost heartbeat stay stale until all rows are sent again.
-void MembershipService::addPoolUsage(peers::Heartbeat &Into) {
+void MembershipService::addPoolUsage(peers::Heartbeat &Beat) {
   if (HeartbeatsSent_++ % FullUsageInterval == 0)
     State_.Usage_.markAllChanged();
   const std::size_t Peers =
       std::max<std::size_t>(1, State_.otherMembers().size());
-  const std::size_t Most =
+  const std::size_t MaxRows =
       std::max(MinUsageRows, UsageBytesPerSecond /
                                  (HeartbeatsPerSecond * Peers * BytesPerRow));
-  for (const auto &Row : State_.Usage_.takeChanged(Most))
-    Into.PoolUsage_.push_back(
+  for (const auto &Row : State_.Usage_.takeChanged(MaxRows))
+    Beat.PoolUsage_.push_back(
         {Row.Pool_, Row.Team_, Row.Usage_.Running_, Row.Usage_.Waiting_});
 }
 
@@ -157,10 +157,10 @@
 
 // View changes
 
-absl::Status MembershipService::changeView(const Change &Make) {
+absl::Status MembershipService::changeView(const Change &Edit) {
   if (State_.ViewRevision_.value() == 0)
     return absl::FailedPreconditionError("no view is known");
-  absl::StatusOr<View> Next = Make(State_.View_);
+  absl::StatusOr<View> Next = Edit(State_.View_);
   if (!Next.ok())
     return Next.status();
   store::Transaction Txn;
@@ -178,13 +178,13 @@
 }
 
 absl::Status MembershipService::createInitialView() {
-  View First;
-  First.Number_ = First.SettledThrough_ = First.LastJoin_ =
+  View Initial;
+  Initial.Number_ = Initial.SettledThrough_ = Initial.LastJoin_ =
       membership::ViewNumber(1);
-  First.Members_.push_back(State_.Self_);
+  Initial.Members_.push_back(State_.Self_);
   store::Transaction Txn;
   Txn.Compares_.push_back({Config_.viewKey(), fleet::Revision(0)});
-  Txn.Puts_.push_back({Config_.viewKey(), membership::toText(First)});
+  Txn.Puts_.push_back({Config_.viewKey(), membership::toText(Initial)});
   const auto Result = Store_.commit(Txn, State_.now() + WriteTimeout);
   Config_.poll();
   return Result.status();
@@ -192,9 +192,9 @@
 
 void MembershipService::joinOrReplace() {
   for (const Member &Item : State_.View_.Members_) {
-    const bool FormerRun = Item.Vm_ == State_.Self_.Vm_ ||
+    const bool SameEntry = Item.Vm_ == State_.Self_.Vm_ ||
                            Item.Id_.Name_ == State_.Self_.Id_.Name_;
-    if (!FormerRun)
+    if (!SameEntry)
       continue;
     if (Item.Id_.Incarnation_ > State_.Self_.Id_.Incarnation_) {
       framework::log::warning("membership.superseded")
@@ -207,28 +207,28 @@
         .IgnoreError();
     return;
   }
-  const absl::Status Joined = changeView([this](const View &Now) {
-    return membership::withJoined(Now, State_.Self_);
+  const absl::Status Status = changeView([this](const View &Current) {
+    return membership::withJoined(Current, State_.Self_);
   });
-  if (Joined.ok())
+  if (Status.ok())
     State_.Decisions_.add(
         DecisionKind::Membership, State_.Self_.Id_.Name_.str(), "joined",
         "view " + std::to_string(State_.View_.Number_.value()));
 }
 
-absl::Status MembershipService::declareStopped(const MemberId &Gone,
-                                               const std::string &Why) {
+absl::Status MembershipService::declareStopped(const MemberId &Stopped,
+                                               const std::string &Reason) {
   // Endpoints may keep running its requests until the last task lease that it
   // could have granted ends. Its units must not be reused before.
   const TimePoint Reusable = State_.now() + membership::MaxTaskLease +
                              framework::clock::ClockSkewMargin;
-  const absl::Status Done = changeView([&](const View &Now) {
-    return membership::withRemoved(Now, Gone, Reusable);
+  const absl::Status Status = changeView([&](const View &Current) {
+    return membership::withRemoved(Current, Stopped, Reusable);
   });
-  if (Done.ok())
-    State_.Decisions_.add(DecisionKind::Membership, Gone.Name_.str(), "removed",
-                          Why);
-  return Done;
+  if (Status.ok())
+    State_.Decisions_.add(DecisionKind::Membership, Stopped.Name_.str(),
+                          "removed", Reason);
+  return Status;
 }
 
 std::vector<membership::MemberProgress> MembershipService::progress() const {
@@ -254,8 +254,8 @@
   const auto Known = progress();
   if (!membership::canSettle(State_.View_, Known, State_.now()))
     return;
-  changeView([](const View &Now) -> absl::StatusOr<View> {
-    return membership::asSettled(Now);
+  changeView([](const View &Current) -> absl::StatusOr<View> {
+    return membership::asSettled(Current);
   }).IgnoreError();
 }
 
@@ -281,19 +281,19 @@
   State_.Leaving_ = true;
   // Leaving needs the store. If it stays unreachable, the next incarnation on
   // this VM removes this one; a short outage is waited for.
-  const TimePoint Patience = State_.now() + StoreOutageTolerance;
+  const TimePoint OutageDeadline = State_.now() + StoreOutageTolerance;
   while (State_.isMember() && State_.now() < Deadline &&
          (State_.Contact_.isStoreReachable(State_.now()) ||
-          State_.now() < Patience)) {
+          State_.now() < OutageDeadline)) {
     const Member *Self = State_.View_.find(State_.Self_.Id_);
     if (!Self->Leaving_)
-      changeView([this](const View &Now) {
-        return membership::withLeaving(Now, State_.Self_.Id_);
+      changeView([this](const View &Current) {
+        return membership::withLeaving(Current, State_.Self_.Id_);
       }).IgnoreError();
     else if (State_.View_.settled() || State_.View_.owners().empty())
       // The other members have taken over everything this entry owned.
-      changeView([this](const View &Now) {
-        return membership::withRemoved(Now, State_.Self_.Id_, State_.now());
+      changeView([this](const View &Current) {
+        return membership::withRemoved(Current, State_.Self_.Id_, State_.now());
       }).IgnoreError();
     sleepFor(LeaveCheckInterval);
   }
--- a/src/entry/internal/placementservice.cpp
+++ b/src/entry/internal/placementservice.cpp
@@ -143,9 +143,9 @@
 }
 
 void PlacementService::rejectWaiting(const WaitingRequestPtr &Item,
-                                     Problem Why) {
+                                     Problem Reason) {
   removeFromQueue(Item);
-  Item->Refusal_ = std::move(Why);
+  Item->Refusal_ = std::move(Reason);
   Item->Waiter_->signal();
 }
 
@@ -226,24 +226,25 @@
   return true;
 }
 
-void PlacementService::finish(const WorkRequest &Request, const Placement &Held,
-                              routing::ExchangeResult How, Duration RunTime,
+void PlacementService::finish(const WorkRequest &Request,
+                              const Placement &Assigned,
+                              routing::ExchangeResult Outcome, Duration RunTime,
                               const CancelToken &Cancel) {
-  State_.Ledger_.release(Held.TeamPermit_);
-  State_.Ledger_.release(Held.SlotPermit_);
+  State_.Ledger_.release(Assigned.TeamPermit_);
+  State_.Ledger_.release(Assigned.SlotPermit_);
   State_.Usage_.addRunning(Request.Pool_, Request.Team_, -1);
   const fleet::Pool *Pool = findPool(Request.Pool_);
   const auto Change = State_.Endpoints_.exchangeEnded(
-      Held.Endpoint_, How, Pool ? Pool->Spec_.EjectionCapPercent_ : 0,
+      Assigned.Endpoint_, Outcome, Pool ? Pool->Spec_.EjectionCapPercent_ : 0,
       State_.now());
-  const std::string &Vm = State_.Endpoints_.at(Held.Endpoint_).Vm_.str();
+  const std::string &Vm = State_.Endpoints_.at(Assigned.Endpoint_).Vm_.str();
   if (Change == routing::HealthChange::Ejected)
     State_.Decisions_.add(DecisionKind::Ejection, Vm, "failures-in-a-row",
                           "pool " + Request.Pool_.str());
   if (Change == routing::HealthChange::Restored)
     State_.Decisions_.add(DecisionKind::Return, Vm, "probation-passed",
                           "pool " + Request.Pool_.str());
-  if (How == routing::ExchangeResult::Succeeded)
+  if (Outcome == routing::ExchangeResult::Succeeded)
     State_.Estimates_.recordRunTime(Request.Pool_, Request.Team_, RunTime);
   std::erase_if(Preemptible_,
                 [&](const Preemptible &Row) { return Row.Cancel_ == &Cancel; });
--- a/src/entry/internal/plannerservice.cpp
+++ b/src/entry/internal/plannerservice.cpp
@@ -52,8 +52,9 @@
 
 void PlannerService::loop() {
   while (true) {
-    const bool Able = State_.Started_ && !State_.Leaving_ && State_.isMember();
-    if (Able && refreshLease())
+    const bool Eligible =
+        State_.Started_ && !State_.Leaving_ && State_.isMember();
+    if (Eligible && refreshLease())
       tick();
     sleepFor(std::max(TickInterval, MinPauseToTickRatio * LastTick_));
   }
@@ -73,7 +74,7 @@
   const auto Done = Store_.commit(Txn, State_.now() + CallTimeout);
   if (!Done.ok() || !Done->Succeeded_)
     return false;
-  Lease_ = *Granted;
+  LeaseId_ = *Granted;
   LeaseRevision_ = Done->StoreRevision_;
   LeaseRenewedAt_ = State_.now();
   LastWriteRevision_ = LeaseRevision_;
@@ -98,12 +99,12 @@
   }
   if (State_.now() - LeaseRenewedAt_ < LeaseRenewInterval)
     return true;
-  const auto Kept = Store_.keepLease(Lease_, State_.now() + CallTimeout);
-  if (Kept.ok() && *Kept) {
+  const auto Renewed = Store_.keepLease(LeaseId_, State_.now() + CallTimeout);
+  if (Renewed.ok() && *Renewed) {
     LeaseRenewedAt_ = State_.now();
     return true;
   }
-  if (Kept.ok() ||
+  if (Renewed.ok() ||
       State_.now() - LeaseRenewedAt_ > std::chrono::seconds(LeaseTtlSeconds))
     onLeaseLost();
   return false;
@@ -192,10 +193,10 @@
 
 void PlannerService::applyVm(const maintenance::VmAction &Step) {
   if (Step.Kind_ == ActionKind::Reboot) {
-    TimePoint &Asked = RebootRequestedAt_[Step.Vm_];
-    if (State_.now() - Asked < RebootRequestInterval)
+    TimePoint &RequestedAt = RebootRequestedAt_[Step.Vm_];
+    if (State_.now() - RequestedAt < RebootRequestInterval)
       return;
-    Asked = State_.now();
+    RequestedAt = State_.now();
     const absl::Status Done = Directory_.reboot(
         Step.Vm_, Step.To_.BootIdBeforeReboot_, State_.now() + CallTimeout);
     if (Done.ok())
@@ -220,7 +221,7 @@
 
 void PlannerService::applyWave(const maintenance::WaveUpdate &Step) {
   const auto *Before = State_.Config_.tables().find<Wave>(Step.Wave_);
-  const bool NewPhase = Before && Before->Status_.Phase_ != Step.To_.Phase_;
+  const bool PhaseChanged = Before && Before->Status_.Phase_ != Step.To_.Phase_;
   const absl::Status Done =
       write<Wave>(Step.Wave_, [&](std::optional<Wave> &Object) -> absl::Status {
         if (!Object)
@@ -228,7 +229,7 @@
         Object->Status_ = Step.To_;
         return absl::OkStatus();
       });
-  if (Done.ok() && NewPhase)
+  if (Done.ok() && PhaseChanged)
     State_.Decisions_.add(
         DecisionKind::Wave, Step.Wave_, fleet::nameOf(Step.To_.Phase_),
         Step.To_.Conditions_.empty() ? "" : Step.To_.Conditions_[0].Message_);
@@ -275,13 +276,14 @@
 }
 
 void PlannerService::probeVmsOnProbation() {
-  std::set<std::string> Wanted;
+  std::set<std::string> OnProbation;
   for (const auto &[Name, Machine] : State_.Config_.tables().Vms_)
     if (Machine.Status_.Phase_ == fleet::VmPhase::Probation)
-      Wanted.insert(Name);
-  std::erase_if(Probes_,
-                [&](const auto &Row) { return !Wanted.contains(Row.first); });
-  for (const std::string &Name : Wanted)
+      OnProbation.insert(Name);
+  std::erase_if(Probes_, [&](const auto &Row) {
+    return !OnProbation.contains(Row.first);
+  });
+  for (const std::string &Name : OnProbation)
     framework::fibers::spawn([this, Name] { probe(Name); });
 }
 
--- a/src/entry/internal/requestrunner.cpp
+++ b/src/entry/internal/requestrunner.cpp
@@ -22,21 +22,21 @@
   return std::chrono::ceil<std::chrono::seconds>(Time).count();
 }
 
-http::Response problemAnswer(const Problem &Why) {
+http::Response problemAnswer(const Problem &Reason) {
   boost::json::object Body;
   Body["type"] = "about:blank";
-  Body["title"] = nameOf(Why.Code_);
-  Body["status"] = statusOf(Why.Code_);
-  Body["code"] = nameOf(Why.Code_);
-  Body["detail"] = Why.Detail_;
-  Body["outcome"] = fleet::nameOf(Why.Outcome_);
+  Body["title"] = nameOf(Reason.Code_);
+  Body["status"] = statusOf(Reason.Code_);
+  Body["code"] = nameOf(Reason.Code_);
+  Body["detail"] = Reason.Detail_;
+  Body["outcome"] = fleet::nameOf(Reason.Outcome_);
   http::Response Answer;
-  Answer.Status_ = statusOf(Why.Code_);
+  Answer.Status_ = statusOf(Reason.Code_);
   Answer.Headers_.add("Content-Type", "application/problem+json");
-  Answer.Headers_.add("Request-Outcome", fleet::nameOf(Why.Outcome_));
-  if (Why.RetryAfter_ > Duration(0))
+  Answer.Headers_.add("Request-Outcome", fleet::nameOf(Reason.Outcome_));
+  if (Reason.RetryAfter_ > Duration(0))
     Answer.Headers_.add("Retry-After",
-                        std::to_string(retryAfterSeconds(Why.RetryAfter_)));
+                        std::to_string(retryAfterSeconds(Reason.RetryAfter_)));
   Answer.Body_ = boost::json::serialize(Body);
   return Answer;
 }
@@ -85,30 +85,30 @@
   bool MayHaveRun_ = false;
 };
 
-void RequestRunner::refuse(http::Exchange &Call, const Problem &Why,
+void RequestRunner::refuse(http::Exchange &Call, const Problem &Reason,
                            std::string_view Subject) {
   State_.Metrics_
-      .counter("refusals_total{code=\"" + std::string(nameOf(Why.Code_)) +
+      .counter("refusals_total{code=\"" + std::string(nameOf(Reason.Code_)) +
                "\"}")
       .add();
-  State_.Decisions_.add(DecisionKind::Refusal, Subject, nameOf(Why.Code_),
-                        Why.Detail_);
-  Call.reply(problemAnswer(Why));
+  State_.Decisions_.add(DecisionKind::Refusal, Subject, nameOf(Reason.Code_),
+                        Reason.Detail_);
+  Call.reply(problemAnswer(Reason));
 }
 
 /// Ends the request with a problem. Releases its idempotency key if it did not
 /// run.
-void RequestRunner::fail(ActiveRequest &Active, Problem Why) {
+void RequestRunner::fail(ActiveRequest &Active, Problem Reason) {
   Active.Finished_ = true;
   if (Active.MayHaveRun_)
-    Why.Outcome_ = fleet::Outcome::Unknown;
+    Reason.Outcome_ = fleet::Outcome::Unknown;
   if (Active.Reservation_) {
-    if (Why.Outcome_ == fleet::Outcome::NotRun)
+    if (Reason.Outcome_ == fleet::Outcome::NotRun)
       Reservations_.abandon(*Active.Reservation_);
     else
       Reservations_.finish(*Active.Reservation_, RecordState::Unknown, {});
   }
-  refuse(Active.Call_, Why,
+  refuse(Active.Call_, Reason,
          Active.Request_.Pool_.str() + "/" + Active.Request_.Team_.str());
 }
 
@@ -209,12 +209,12 @@
                    fleet::Outcome::Ran,
                    {}},
                   Subject);
-  const Duration Left = Found.LeaseUntil_ - State_.now();
-  if (Found.State_ == RecordState::Reserved && Left > Duration(0))
+  const Duration Remaining = Found.LeaseUntil_ - State_.now();
+  if (Found.State_ == RecordState::Reserved && Remaining > Duration(0))
     return refuse(Active.Call_,
                   {ProblemCode::InProgress,
                    "another attempt with this key is in progress",
-                   fleet::Outcome::Unknown, Left},
+                   fleet::Outcome::Unknown, Remaining},
                   Subject);
   refuse(Active.Call_,
          {ProblemCode::OutcomeUnknown,
@@ -240,10 +240,11 @@
                         budgetOf(Active.Request_.Pool_).tryConsume());
 }
 
-void RequestRunner::runAttempt(ActiveRequest &Active, const Placement &At) {
+void RequestRunner::runAttempt(ActiveRequest &Active,
+                               const Placement &Assigned) {
   const TimePoint Start = State_.now();
   if (Active.Cancel_.cancelled() || !Active.KeyIsValid_() || State_.fenced()) {
-    Placements_.finish(Active.Request_, At, routing::ExchangeResult::Refused,
+    Placements_.finish(Active.Request_, Assigned, routing::ExchangeResult::Refused,
                        {}, Active.Cancel_);
     const bool Cancelled = Active.Cancel_.cancelled();
     return fail(Active, {Cancelled              ? ProblemCode::Cancelled
@@ -257,24 +258,24 @@
   }
   Placements_.markRunning(Active.Request_, Active.Cancel_);
   ForwardResult Result =
-      Forward_.forward(Active.Request_, At, Active.Body_, Active.Cancel_);
+      Forward_.forward(Active.Request_, Assigned, Active.Body_, Active.Cancel_);
   const bool Preempted = Active.Cancel_.preempted();
-  routing::ExchangeResult How = routing::ExchangeResult::Failed;
+  routing::ExchangeResult Outcome = routing::ExchangeResult::Failed;
   if (Result.Kind_ == ForwardStatus::Answered && Result.Answer_.Status_ < 500)
-    How = routing::ExchangeResult::Succeeded;
+    Outcome = routing::ExchangeResult::Succeeded;
   if (Result.Kind_ == ForwardStatus::Refused ||
       Result.Kind_ == ForwardStatus::CallerFailed || Preempted ||
       Active.Cancel_.cancelled())
-    How = routing::ExchangeResult::Refused;
-  const std::string Address = State_.Endpoints_.at(At.Endpoint_).Address_;
+    Outcome = routing::ExchangeResult::Refused;
+  const std::string Address = State_.Endpoints_.at(Assigned.Endpoint_).Address_;
   if (Result.Kind_ == ForwardStatus::Answered) {
     recordAnswer(Active, Result);
     deliver(Active, Result);
-    Placements_.finish(Active.Request_, At, How, State_.now() - Start,
+    Placements_.finish(Active.Request_, Assigned, Outcome, State_.now() - Start,
                        Active.Cancel_);
     return Forward_.releaseConnection(Address, Result.Connection_);
   }
-  Placements_.finish(Active.Request_, At, How, State_.now() - Start,
+  Placements_.finish(Active.Request_, Assigned, Outcome, State_.now() - Start,
                      Active.Cancel_);
   if (Result.Kind_ == ForwardStatus::Refused)
     Forward_.releaseConnection(Address, Result.Connection_);
@@ -285,7 +286,7 @@
     Active.Cancel_.clearPreemption();
     return;
   }
-  Active.TriedEndpoints_.push_back(At.Endpoint_);
+  Active.TriedEndpoints_.push_back(Assigned.Endpoint_);
   if (mayRetry(Active, Result)) {
     State_.Metrics_
         .counter(Result.Kind_ == ForwardStatus::Unanswered
@@ -299,10 +300,11 @@
                          "cancelled while running",
                          fleet::Outcome::NotRun,
                          {}});
-  const bool Late = State_.now() >= Active.Request_.Deadline_;
-  fail(Active, {Late ? ProblemCode::AnswerLost : ProblemCode::EndpointFailed,
-                Result.Reason_, fleet::Outcome::NotRun,
-                Duration(std::chrono::seconds(1))});
+  const bool DeadlinePassed = State_.now() >= Active.Request_.Deadline_;
+  fail(Active,
+       {DeadlinePassed ? ProblemCode::AnswerLost : ProblemCode::EndpointFailed,
+        Result.Reason_, fleet::Outcome::NotRun,
+        Duration(std::chrono::seconds(1))});
 }
 
 /// Records the answer at the key's homes before it is sent to the caller.
@@ -346,18 +348,18 @@
                   Active.Request_.Pool_.str());
   Active.Call_.beginReply(
       callerResponseHead(Result.Answer_, fleet::Outcome::Ran), Length);
-  std::string Part = Result.Answer_.Body_;
+  std::string Chunk = Result.Answer_.Body_;
   std::uint64_t Sent = 0;
-  for (bool More = true; More || !Part.empty();) {
-    Sent += Part.size();
+  for (bool More = true; More || !Chunk.empty();) {
+    Sent += Chunk.size();
     // Abort the connection so that the caller cannot mistake a truncated answer
     // for a complete one.
-    if (Sent > Limit || !Active.Call_.write(Part).ok())
+    if (Sent > Limit || !Active.Call_.write(Chunk).ok())
       return Active.Call_.abort();
-    Part.clear();
+    Chunk.clear();
     if (!More)
       break;
-    const auto Next = Result.Connection_->readSome(Part, ReadChunkBytes,
+    const auto Next = Result.Connection_->readSome(Chunk, ReadChunkBytes,
                                                    Active.Request_.Deadline_);
     if (!Next.ok())
       return Active.Call_.abort();
@@ -371,9 +373,9 @@
   ActiveRequest Active{Call, Request, KeyIsValid, {}, {}, {}, {}, false, false};
   ++InFlight_;
   std::optional<std::multimap<idempotency::RecordName, CancelToken *>::iterator>
-      Listed;
+      Registration;
   if (Request.Key_)
-    Listed = CancelTokens_.emplace(
+    Registration = CancelTokens_.emplace(
         idempotency::recordName(Request.Team_, *Request.Key_), &Active.Cancel_);
   if (readPrefix(Active) && reserve(Active)) {
     budgetOf(Request.Pool_).requestStarted();
@@ -383,17 +385,17 @@
     }
     while (!Active.Finished_) {
       Problem Refusal;
-      const absl::StatusOr<Placement> At = Placements_.place(
+      const absl::StatusOr<Placement> Assigned = Placements_.place(
           Request, Active.Cancel_, Active.TriedEndpoints_, Refusal);
-      if (At.ok())
-        runAttempt(Active, *At);
+      if (Assigned.ok())
+        runAttempt(Active, *Assigned);
       else
         fail(Active, Refusal);
     }
   }
   Call.onCallerGone(nullptr);
-  if (Listed)
-    CancelTokens_.erase(*Listed);
+  if (Registration)
+    CancelTokens_.erase(*Registration);
   --InFlight_;
 }
 
--- a/src/entry/internal/reservationservice.cpp
+++ b/src/entry/internal/reservationservice.cpp
@@ -49,30 +49,31 @@
 
 ReservationResult ReservationService::reserve(const WorkRequest &Request,
                                               std::uint64_t Fingerprint) {
-  const TimePoint GiveUp =
+  const TimePoint RetryDeadline =
       std::min(Request.Deadline_, State_.now() + RetryTimeout);
-  for (int Try = 1;; ++Try) {
+  for (int Attempt = 1;; ++Attempt) {
     ReservationResult Result = attemptReservation(Request, Fingerprint);
     // The earlier attempt may finish within the retry time. Its answer is more
     // useful to the caller than "in progress".
-    const bool UnderWay =
+    const bool InProgress =
         Result.Verdict_ == ReservationOutcome::Duplicate &&
         Result.Found_.State_ == idempotency::RecordState::Reserved &&
         Result.Found_.LeaseUntil_ > State_.now();
-    if ((Result.Verdict_ != ReservationOutcome::Retry && !UnderWay) ||
-        State_.now() >= GiveUp)
+    if ((Result.Verdict_ != ReservationOutcome::Retry && !InProgress) ||
+        State_.now() >= RetryDeadline)
       return Result;
-    sleepFor(retryDelay(Try));
+    sleepFor(retryDelay(Attempt));
   }
 }
 
 /// Randomized exponential backoff. Concurrent attempts with the same key can
 /// each reserve some homes and all fail; with equal delays they would do so
 /// repeatedly.
-Duration ReservationService::retryDelay(int Try) {
-  const Duration Most =
-      std::min(InitialRetryDelay * (1 << std::min(Try, 10)), MaxRetryDelay);
-  return Duration(Random_() % static_cast<std::uint64_t>(Most.count()) + 1000);
+Duration ReservationService::retryDelay(int Attempt) {
+  const Duration MaxDelay =
+      std::min(InitialRetryDelay * (1 << std::min(Attempt, 10)), MaxRetryDelay);
+  return Duration(Random_() % static_cast<std::uint64_t>(MaxDelay.count()) +
+                  1000);
 }
 
 ReservationResult
@@ -106,22 +107,23 @@
   return Result;
 }
 
-void ReservationService::finish(const Reservation &Held,
-                                idempotency::RecordState How,
+void ReservationService::finish(const Reservation &Reserved,
+                                idempotency::RecordState State,
                                 const idempotency::StoredResponse &Answer) {
   idempotency::Record Final;
-  Final.Attempt_ = Held.Attempt_;
-  Final.State_ = How;
-  Final.LeaseUntil_ = Held.LeaseUntil_;
-  Final.ForgetAfter_ = Held.MintedAt_ + idempotency::KeyWindow +
+  Final.Attempt_ = Reserved.Attempt_;
+  Final.State_ = State;
+  Final.LeaseUntil_ = Reserved.LeaseUntil_;
+  Final.ForgetAfter_ = Reserved.MintedAt_ + idempotency::KeyWindow +
                        3 * framework::clock::ClockSkewMargin;
-  Final.Fingerprint_ = Held.Fingerprint_;
+  Final.Fingerprint_ = Reserved.Fingerprint_;
   Final.Response_ = Answer;
-  sendToHomes(Held.Name_, peers::Finish{{Held.Name_, Final}});
+  sendToHomes(Reserved.Name_, peers::Finish{{Reserved.Name_, Final}});
 }
 
-void ReservationService::abandon(const Reservation &Held) {
-  sendToHomes(Held.Name_, peers::Abandon{Held.Name_, Held.Attempt_});
+void ReservationService::abandon(const Reservation &Reserved) {
+  sendToHomes(Reserved.Name_,
+              peers::Abandon{Reserved.Name_, Reserved.Attempt_});
 }
 
 void ReservationService::handle(const peers::Sender &From,
--- a/src/entry/membershipservice.h
+++ b/src/entry/membershipservice.h
@@ -35,7 +35,8 @@
 
   /// Removes a member whose VM has stopped, as reported by an operator or the
   /// platform. \p Why is recorded in the decision log.
-  absl::Status declareStopped(const MemberId &Gone, const std::string &Why);
+  absl::Status declareStopped(const MemberId &Stopped,
+                              const std::string &Reason);
 
   /// Entries that have applied a configuration revision, and those that have
   /// not.
@@ -63,14 +64,14 @@
   void forgetSilentPeers();
   void viewLoop();
   void reconcileMembership();
-  absl::Status changeView(const Change &Make);
+  absl::Status changeView(const Change &Edit);
   absl::Status createInitialView();
   void joinOrReplace();
   void settleIfDue();
   /// The part of a heartbeat that is equal for all peers; sendHeartbeat() adds
   /// the echoed time.
   peers::Heartbeat makeHeartbeat() const;
-  void addPoolUsage(peers::Heartbeat &Into);
+  void addPoolUsage(peers::Heartbeat &Beat);
   void sendHeartbeat(const MemberId &To, peers::Heartbeat Beat) const;
   std::vector<membership::MemberProgress> progress() const;
 
--- a/src/entry/placementservice.h
+++ b/src/entry/placementservice.h
@@ -31,8 +31,8 @@
 
   /// Releases the permit and the slot of a placement and records the outcome of
   /// the exchange.
-  void finish(const WorkRequest &Request, const Placement &Held,
-              routing::ExchangeResult How, Duration RunTime,
+  void finish(const WorkRequest &Request, const Placement &Assigned,
+              routing::ExchangeResult Outcome, Duration RunTime,
               const CancelToken &Cancel);
 
   /// Marks the request as running. Until finish(), repeatable batch work may be
@@ -90,7 +90,7 @@
   bool grantSlotLoan(const fleet::PoolName &Pool,
                      const sharing::BorrowRequest &Wish);
   void removeFromQueue(const WaitingRequestPtr &Item);
-  void rejectWaiting(const WaitingRequestPtr &Item, Problem Why);
+  void rejectWaiting(const WaitingRequestPtr &Item, Problem Reason);
 
   void requestPermitLoans();
   void requestSlotLoans(const fleet::PoolName &Pool, PoolState &Row);
--- a/src/entry/plannerservice.h
+++ b/src/entry/plannerservice.h
@@ -58,7 +58,7 @@
   /// Members whose VM has been listed by the platform, with the number of
   /// consecutive lists that lacked it since.
   std::map<MemberId, int> MissingListCounts_;
-  std::int64_t Lease_ = 0;
+  std::int64_t LeaseId_ = 0;
   fleet::Revision LeaseRevision_;
   TimePoint LeaseRenewedAt_{};
   TimePoint LeaseAttemptedAt_{};
--- a/src/entry/requestrunner.h
+++ b/src/entry/requestrunner.h
@@ -35,7 +35,7 @@
   std::size_t inFlight() const { return InFlight_; }
 
   /// Answers with a problem document and records the refusal of \p Subject.
-  void refuse(framework::http::Exchange &Call, const Problem &Why,
+  void refuse(framework::http::Exchange &Call, const Problem &Reason,
               std::string_view Subject);
 
 private:
@@ -44,12 +44,12 @@
   bool readPrefix(ActiveRequest &Active);
   bool reserve(ActiveRequest &Active);
   void answerDuplicate(ActiveRequest &Active, const ReservationResult &Found);
-  void runAttempt(ActiveRequest &Active, const Placement &At);
+  void runAttempt(ActiveRequest &Active, const Placement &Assigned);
   bool mayRetry(ActiveRequest &Active, const ForwardResult &Result);
   void deliver(ActiveRequest &Active, const ForwardResult &Result);
   void deliverStream(ActiveRequest &Active, const ForwardResult &Result);
   void recordAnswer(ActiveRequest &Active, const ForwardResult &Result);
-  void fail(ActiveRequest &Active, Problem Why);
+  void fail(ActiveRequest &Active, Problem Reason);
   routing::RetryBudget &budgetOf(const fleet::PoolName &Pool) {
     return Budgets_[Pool];
   }
--- a/src/entry/reservationservice.h
+++ b/src/entry/reservationservice.h
@@ -42,10 +42,10 @@
   /// Waits for a quorum of the key's homes. The verdict is never Pending.
   ReservationResult reserve(const WorkRequest &Request,
                             std::uint64_t Fingerprint);
-  void finish(const Reservation &Held, idempotency::RecordState How,
+  void finish(const Reservation &Reserved, idempotency::RecordState State,
               const idempotency::StoredResponse &Answer);
   /// Releases a reservation of which no part was sent to an endpoint.
-  void abandon(const Reservation &Held);
+  void abandon(const Reservation &Reserved);
 
   void handle(const peers::Sender &From,
               const idempotency::ReserveRequest &Request);
@@ -65,7 +65,7 @@
 
   ReservationResult attemptReservation(const WorkRequest &Request,
                                        std::uint64_t Fingerprint);
-  Duration retryDelay(int Try);
+  Duration retryDelay(int Attempt);
   void copyLoop();
   template <typename Message>
   void sendToHomes(const idempotency::RecordName &Name, const Message &Body);
--- a/src/fleet/tests/resourcejsontest.cpp
+++ b/src/fleet/tests/resourcejsontest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-template <typename T> FieldErrors faultsOf(std::string_view Text) {
+template <typename T> FieldErrors errorsOf(std::string_view Text) {
   FieldErrors Errors;
   readResource<T>(*parseJson(Text), Errors);
   return Errors;
@@ -34,7 +34,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(EveryErrorIsReportedWithItsPath) {
-  const FieldErrors Errors = faultsOf<Team>(
+  const FieldErrors Errors = errorsOf<Team>(
       R"({"metadata": {"name": "Lunch"}, "spec": {"limit": -1, "shares": 2}})");
   BOOST_TEST(describe(Errors) ==
              "metadata.name: must be 1 to 63 of a-z, 0-9, '-' and '.'; "
@@ -43,17 +43,17 @@
 }
 
 BOOST_AUTO_TEST_CASE(BudgetAcceptsOnlyCountsAndPercentages) {
-  BOOST_TEST(describe(faultsOf<Pool>(R"({"metadata": {"name": "p"},
+  BOOST_TEST(describe(errorsOf<Pool>(R"({"metadata": {"name": "p"},
       "spec": {"budget": {"maxUnavailable": "101%"}}})"))
                  .starts_with("spec.budget.maxUnavailable: must be a count"));
-  BOOST_TEST(faultsOf<Pool>(R"({"metadata": {"name": "p"},
+  BOOST_TEST(errorsOf<Pool>(R"({"metadata": {"name": "p"},
       "spec": {"budget": {"maxUnavailable": "25%"}}})")
                  .empty());
   BOOST_TEST((CountOrPercent{25, true}.resolve(10)) == 2u);
 }
 
 BOOST_AUTO_TEST_CASE(KeyAcceptsOnlyAHashOfTheSecret) {
-  BOOST_TEST(describe(faultsOf<Key>(R"({"metadata": {"name": "k"},
+  BOOST_TEST(describe(errorsOf<Key>(R"({"metadata": {"name": "k"},
       "spec": {"team": "t", "sha256": "open sesame"}})")) ==
              "spec.sha256: must be 64 lower-case hexadecimal digits");
 }
--- a/src/peers/internal/peermesh.cpp
+++ b/src/peers/internal/peermesh.cpp
@@ -109,11 +109,11 @@
       zmq::message_t Identity, Body;
       if (!Inbox_.recv(Identity, zmq::recv_flags::dontwait))
         continue;
-      bool Whole = Identity.more() &&
-                   Inbox_.recv(Body, zmq::recv_flags::dontwait).has_value();
-      while (Whole && Body.more())
-        Whole = Inbox_.recv(Body, zmq::recv_flags::dontwait).has_value();
-      if (Whole)
+      bool Complete = Identity.more() &&
+                      Inbox_.recv(Body, zmq::recv_flags::dontwait).has_value();
+      while (Complete && Body.more())
+        Complete = Inbox_.recv(Body, zmq::recv_flags::dontwait).has_value();
+      if (Complete)
         receive(Body.to_string_view());
     }
   }
@@ -121,18 +121,18 @@
   void receive(std::string_view Bytes) {
     Counters_.BytesIn_ += Bytes.size();
     ++Counters_.MessagesIn_;
-    absl::StatusOr<Envelope> Arrived = decode(Bytes);
+    absl::StatusOr<Envelope> Decoded = decode(Bytes);
     // Messages for another incarnation of this entry refer to state that no
     // longer exists.
-    const bool Mine =
-        Arrived.ok() && Arrived->To_.Name_ == Self_.Name_ &&
-        (Arrived->To_.Incarnation_.value() == 0 || Arrived->To_ == Self_);
-    const bool Unaddressed = Arrived.ok() && Arrived->To_.Name_.empty();
-    if (!Mine && !Unaddressed) {
+    const bool AddressedToSelf =
+        Decoded.ok() && Decoded->To_.Name_ == Self_.Name_ &&
+        (Decoded->To_.Incarnation_.value() == 0 || Decoded->To_ == Self_);
+    const bool Unaddressed = Decoded.ok() && Decoded->To_.Name_.empty();
+    if (!AddressedToSelf && !Unaddressed) {
       ++Counters_.Refused_;
       return;
     }
-    Handle_(Arrived->From_, std::move(Arrived->Message_));
+    Handle_(Decoded->From_, std::move(Decoded->Message_));
   }
 
   zmq::socket_t *outboxFor(const std::string &Address) {
--- a/src/peers/tests/messagecodectest.cpp
+++ b/src/peers/tests/messagecodectest.cpp
@@ -24,19 +24,19 @@
 } // namespace
 
 BOOST_AUTO_TEST_CASE(EnvelopeRoundTrips) {
-  LoanGrant Sent;
-  Sent.Loans_.push_back({{idOf("a"), 5},
-                         limits::SubjectName("team/x"),
-                         limits::Unit(9),
-                         TimePoint(std::chrono::seconds(4))});
-  Sent.Team_ = fleet::TeamName("x");
-  const Envelope Got = *decode(encode(envelopeWith(Sent)));
-  BOOST_TEST((Got.From_.Id_ == idOf("a")));
-  BOOST_TEST((Got.To_ == idOf("b")));
-  const auto &Body = std::get<LoanGrant>(Got.Message_);
+  LoanGrant Grant;
+  Grant.Loans_.push_back({{idOf("a"), 5},
+                          limits::SubjectName("team/x"),
+                          limits::Unit(9),
+                          TimePoint(std::chrono::seconds(4))});
+  Grant.Team_ = fleet::TeamName("x");
+  const Envelope Received = *decode(encode(envelopeWith(Grant)));
+  BOOST_TEST((Received.From_.Id_ == idOf("a")));
+  BOOST_TEST((Received.To_ == idOf("b")));
+  const auto &Body = std::get<LoanGrant>(Received.Message_);
   BOOST_REQUIRE(Body.Loans_.size() == 1u);
-  BOOST_TEST((Body.Loans_[0].Id_ == Sent.Loans_[0].Id_));
-  BOOST_TEST((Body.Loans_[0].Until_ == Sent.Loans_[0].Until_));
+  BOOST_TEST((Body.Loans_[0].Id_ == Grant.Loans_[0].Id_));
+  BOOST_TEST((Body.Loans_[0].Until_ == Grant.Loans_[0].Until_));
 }
 
 BOOST_AUTO_TEST_CASE(OtherVersionIsRejectedAndUnknownFieldIsIgnored) {
@@ -56,12 +56,12 @@
   Heartbeat Beat;
   Beat.StillHeld_.push_back({limits::SubjectName("team/x"), limits::Unit(1)});
   const std::string Bytes = encode(envelopeWith(Beat));
-  std::size_t Refused = 0;
+  std::size_t Rejected = 0;
   for (int I = 0; I < 20000; ++I) {
-    std::string Damaged = Bytes;
-    Damaged[Random() % Damaged.size()] = static_cast<char>(Random());
-    Damaged.resize(Damaged.size() - Random() % 3);
-    Refused += !decode(Damaged).ok();
+    std::string Corrupted = Bytes;
+    Corrupted[Random() % Corrupted.size()] = static_cast<char>(Random());
+    Corrupted.resize(Corrupted.size() - Random() % 3);
+    Rejected += !decode(Corrupted).ok();
   }
-  BOOST_TEST(Refused > 0u);
+  BOOST_TEST(Rejected > 0u);
 }
--- a/src/peers/tests/peermeshtest.cpp
+++ b/src/peers/tests/peermeshtest.cpp
@@ -21,22 +21,22 @@
 struct Node {
   Node(boost::asio::io_context &Io, const char *Name, const PeerKeys &Keys)
       : Mesh_(Io, idOf(Name), Keys, [this](const Sender &From, Message &&) {
-          Heard_.push_back(From);
+          Received_.push_back(From);
         }) {
     BOOST_REQUIRE(Mesh_.bind(AnyPort, AnyPort).ok());
   }
-  std::vector<Sender> Heard_;
+  std::vector<Sender> Received_;
   PeerMesh Mesh_;
 };
 
 /// Sends repeatedly until a message arrives, since delivery is not guaranteed.
-bool sendUntilHeard(Node &From, Node &To, int Tries) {
+bool sendUntilReceived(Node &From, Node &To, int Tries) {
   const std::string Address = To.Mesh_.advertised().str();
-  for (int I = 0; I < Tries && To.Heard_.empty(); ++I) {
+  for (int I = 0; I < Tries && To.Received_.empty(); ++I) {
     From.Mesh_.send(idOf("b"), Address, SnapshotRequest{});
     framework::fibers::sleepFor(10ms);
   }
-  return !To.Heard_.empty();
+  return !To.Received_.empty();
 }
 
 boost::asio::io_context &sharedIo() {
@@ -46,16 +46,16 @@
   return Io;
 }
 
-constexpr int ManyTries = 1000;
-constexpr int FewTries = 50;
+constexpr int MaxTries = 1000;
+constexpr int TriesWithoutDelivery = 50;
 
 } // namespace
 
 BOOST_AUTO_TEST_CASE(EntriesOfOneFleetExchangeMessages) {
   const PeerKeys Keys = generatePeerKeys();
   Node A(sharedIo(), "a", Keys), B(sharedIo(), "b", Keys);
-  BOOST_TEST(sendUntilHeard(A, B, ManyTries));
-  BOOST_TEST((B.Heard_[0].Id_ == idOf("a")));
+  BOOST_TEST(sendUntilReceived(A, B, MaxTries));
+  BOOST_TEST((B.Received_[0].Id_ == idOf("a")));
 }
 
 // A peer that knows the fleet's public key but not its secret key must be
@@ -63,25 +63,25 @@
 BOOST_AUTO_TEST_CASE(PeerWithoutSecretKeyIsRejected) {
   const PeerKeys Keys = generatePeerKeys();
   const PeerKeys Own = generatePeerKeys();
-  Node Stranger(sharedIo(), "a", {Keys.Public_, Own.Secret_});
+  Node Outsider(sharedIo(), "a", {Keys.Public_, Own.Secret_});
   Node B(sharedIo(), "b", Keys);
-  BOOST_TEST(!sendUntilHeard(Stranger, B, FewTries));
-  Node Friend(sharedIo(), "c", Keys);
-  BOOST_TEST(sendUntilHeard(Friend, B, ManyTries));
-  BOOST_TEST((B.Heard_[0].Id_ == idOf("c")));
+  BOOST_TEST(!sendUntilReceived(Outsider, B, TriesWithoutDelivery));
+  Node Member(sharedIo(), "c", Keys);
+  BOOST_TEST(sendUntilReceived(Member, B, MaxTries));
+  BOOST_TEST((B.Received_[0].Id_ == idOf("c")));
 }
 
 BOOST_AUTO_TEST_CASE(MessageForAnotherIncarnationIsRejected) {
   const PeerKeys Keys = generatePeerKeys();
   Node A(sharedIo(), "a", Keys), B(sharedIo(), "b", Keys);
-  BOOST_REQUIRE(sendUntilHeard(A, B, ManyTries));
-  B.Heard_.clear();
-  const MemberId Former{fleet::EntryName("b"), fleet::Incarnation(9)};
+  BOOST_REQUIRE(sendUntilReceived(A, B, MaxTries));
+  B.Received_.clear();
+  const MemberId OtherIncarnation{fleet::EntryName("b"), fleet::Incarnation(9)};
   const std::string Address = B.Mesh_.advertised().str();
-  for (int I = 0; I < ManyTries && B.Mesh_.counters().Refused_ == 0; ++I) {
-    A.Mesh_.send(Former, Address, SnapshotRequest{});
+  for (int I = 0; I < MaxTries && B.Mesh_.counters().Refused_ == 0; ++I) {
+    A.Mesh_.send(OtherIncarnation, Address, SnapshotRequest{});
     framework::fibers::sleepFor(10ms);
   }
   BOOST_TEST(B.Mesh_.counters().Refused_ > 0u);
-  BOOST_TEST(B.Heard_.empty());
+  BOOST_TEST(B.Received_.empty());
 }
--- a/src/store/internal/gatewayjson.cpp
+++ b/src/store/internal/gatewayjson.cpp
@@ -210,8 +210,8 @@
   return true;
 }
 
-bool WatchReader::fail(absl::Status Why) {
-  Status_ = std::move(Why);
+bool WatchReader::fail(absl::Status Error) {
+  Status_ = std::move(Error);
   return false;
 }
 
--- a/src/store/internal/gatewayjson.h
+++ b/src/store/internal/gatewayjson.h
@@ -33,7 +33,7 @@
 public:
   using OnBatch = std::function<bool(const WatchBatch &)>;
 
-  explicit WatchReader(const OnBatch &Take) : Callback_(Take) {}
+  explicit WatchReader(const OnBatch &Callback) : Callback_(Callback) {}
 
   /// Consumes the next part of the stream. Returns whether to continue reading.
   bool feed(std::string_view Part);
@@ -43,7 +43,7 @@
   const absl::Status &status() const { return Status_; }
 
 private:
-  bool fail(absl::Status Why);
+  bool fail(absl::Status Error);
   bool handleLine(std::string_view Text);
 
   const OnBatch &Callback_;
