--- a/src/entry/internal/requestrunner.cpp
+++ b/src/entry/internal/requestrunner.cpp
@@ -244,8 +244,8 @@
                                const Placement &Assigned) {
   const TimePoint Start = State_.now();
   if (Active.Cancel_.cancelled() || !Active.KeyIsValid_() || State_.fenced()) {
-    Placements_.finish(Active.Request_, Assigned, routing::ExchangeResult::Refused,
-                       {}, Active.Cancel_);
+    Placements_.finish(Active.Request_, Assigned,
+                       routing::ExchangeResult::Refused, {}, Active.Cancel_);
     const bool Cancelled = Active.Cancel_.cancelled();
     return fail(Active, {Cancelled              ? ProblemCode::Cancelled
                          : Active.KeyIsValid_() ? ProblemCode::CutOff
--- a/src/entry/internal/reservationservice.cpp
+++ b/src/entry/internal/reservationservice.cpp
@@ -14,8 +14,8 @@
 /// A home that has not answered within this time counts as hung; the two others
 /// decide.
 constexpr Duration ReplyTimeout = 400ms;
-/// Delay between attempts. Homes briefly answer ViewMismatch or NotReady while the
-/// view changes.
+/// Delay between attempts. Homes briefly answer ViewMismatch or NotReady while
+/// the view changes.
 constexpr Duration InitialRetryDelay = 10ms;
 constexpr Duration MaxRetryDelay = 320ms;
 constexpr Duration RetryTimeout = 2s;
