--- a/src/entry/internal/placementloans.cpp
+++ b/src/entry/internal/placementloans.cpp
@@ -41,67 +41,69 @@
 // Lending
 
 bool PlacementService::grantSlotLoan(const PoolName &Pool,
-                                     const BorrowRequest &Wish) {
+                                     const BorrowRequest &Request) {
   for (EndpointIndex Index : State_.Endpoints_.inPool(Pool)) {
     const auto &Row = State_.Endpoints_.at(Index);
     if (!Row.Open_ || State_.Ledger_.freeOwnedUnits(Row.Subject_) == 0)
       continue;
     const auto Loans =
-        State_.Ledger_.lend(Row.Subject_, Wish.From_, 1, Wish.Until_);
-    State_.Send_(Wish.From_, peers::LoanGrant{Loans, Pool, Wish.Team_});
+        State_.Ledger_.lend(Row.Subject_, Request.From_, 1, Request.Until_);
+    State_.Send_(Request.From_, peers::LoanGrant{Loans, Pool, Request.Team_});
     State_.Metrics_.counter("loans_granted_total{kind=\"slot\"}").add();
-    poolState(Pool).Queue_.recordGrant(Wish);
+    poolState(Pool).Queue_.recordGrant(Request);
     return true;
   }
   return false;
 }
 
 void PlacementService::serveTeamBorrowRequests(const TeamName &Team) {
-  const auto Wishes = TeamBorrowRequests_.find(Team);
+  const auto Requests = TeamBorrowRequests_.find(Team);
   const auto Subject = State_.Ledger_.find(teamSubject(Team.str()));
-  if (Wishes == TeamBorrowRequests_.end() || !Subject)
+  if (Requests == TeamBorrowRequests_.end() || !Subject)
     return;
-  for (BorrowRequest &Wish : Wishes->second) {
-    if (Wish.ExpiresAt_ <= State_.now() || Wish.Count_ == 0)
+  for (BorrowRequest &Request : Requests->second) {
+    if (Request.ExpiresAt_ <= State_.now() || Request.Count_ == 0)
       continue;
-    const auto Loans =
-        State_.Ledger_.lend(*Subject, Wish.From_, Wish.Count_, Wish.Until_);
+    const auto Loans = State_.Ledger_.lend(*Subject, Request.From_,
+                                           Request.Count_, Request.Until_);
     if (Loans.empty())
       break;
-    Wish.Count_ -= Loans.size();
+    Request.Count_ -= Loans.size();
     State_.Metrics_.counter("loans_granted_total{kind=\"team\"}")
         .add(Loans.size());
-    State_.Send_(Wish.From_, peers::LoanGrant{Loans, PoolName(), Team});
+    State_.Send_(Request.From_, peers::LoanGrant{Loans, PoolName(), Team});
   }
-  std::erase_if(Wishes->second, [&](const BorrowRequest &Wish) {
-    return Wish.Count_ == 0 || Wish.ExpiresAt_ <= State_.now();
+  std::erase_if(Requests->second, [&](const BorrowRequest &Request) {
+    return Request.Count_ == 0 || Request.ExpiresAt_ <= State_.now();
   });
-  if (Wishes->second.empty())
-    TeamBorrowRequests_.erase(Wishes);
+  if (Requests->second.empty())
+    TeamBorrowRequests_.erase(Requests);
 }
 
 void PlacementService::handle(const peers::Sender &From,
-                              const peers::BorrowRequest &Asked) {
+                              const peers::BorrowRequest &Message) {
   if (State_.fenced())
     return;
   const TimePoint Now = State_.now();
-  BorrowRequest Wish{From.Id_,
-                     Asked.Team_,
-                     Asked.Class_,
-                     std::min(Asked.Count_, MaxLoansPerRequest),
-                     std::min(Asked.Until_, Now + membership::MaxTaskLease),
-                     Now + BorrowRequestTtl};
-  if (!Asked.Pool_.empty()) {
-    if (!findPool(Asked.Pool_))
+  BorrowRequest Request{
+      From.Id_,
+      Message.Team_,
+      Message.Class_,
+      std::min(Message.Count_, MaxLoansPerRequest),
+      std::min(Message.Until_, Now + membership::MaxTaskLease),
+      Now + BorrowRequestTtl};
+  if (!Message.Pool_.empty()) {
+    if (!findPool(Message.Pool_))
       return;
-    poolState(Asked.Pool_).Queue_.addBorrowRequest(Wish);
-    return dispatchWaiting(Asked.Pool_);
+    poolState(Message.Pool_).Queue_.addBorrowRequest(Request);
+    return dispatchWaiting(Message.Pool_);
   }
-  auto &Wishes = TeamBorrowRequests_[Asked.Team_];
-  std::erase_if(
-      Wishes, [&](const BorrowRequest &Old) { return Old.From_ == From.Id_; });
-  Wishes.push_back(Wish);
-  serveTeamBorrowRequests(Asked.Team_);
+  auto &Requests = TeamBorrowRequests_[Message.Team_];
+  std::erase_if(Requests, [&](const BorrowRequest &Old) {
+    return Old.From_ == From.Id_;
+  });
+  Requests.push_back(Request);
+  serveTeamBorrowRequests(Message.Team_);
 }
 
 void PlacementService::handle(const peers::Sender &,
@@ -117,10 +119,10 @@
                               const peers::LoanReturn &Returned) {
   for (const limits::LoanId &Id : Returned.Loans_)
     State_.Ledger_.acceptReturn(Id);
-  std::vector<TeamName> Wishing;
-  for (const auto &[Team, Wishes] : TeamBorrowRequests_)
-    Wishing.push_back(Team);
-  for (const TeamName &Team : Wishing)
+  std::vector<TeamName> Teams;
+  for (const auto &[Team, Requests] : TeamBorrowRequests_)
+    Teams.push_back(Team);
+  for (const TeamName &Team : Teams)
     serveTeamBorrowRequests(Team);
   dispatchAllPools();
 }
@@ -136,26 +138,26 @@
     return;
   Row.BorrowRequestedAt_ = State_.now();
   std::map<std::pair<TeamName, fleet::RequestClass>, peers::BorrowRequest>
-      Wishes;
+      Requests;
   for (const auto &[Id, Item] : Tickets_) {
     if (Item->Request_->Pool_ != Pool)
       continue;
-    auto &Wish = Wishes[{Item->Ticket_.Team_, Item->Ticket_.Class_}];
-    Wish.Pool_ = Pool;
-    Wish.Team_ = Item->Ticket_.Team_;
-    Wish.Class_ = Item->Ticket_.Class_;
-    Wish.Until_ =
-        std::max(Wish.Until_, Item->Ticket_.Deadline_ + LoanReuseMargin);
-    ++Wish.Count_;
+    auto &Request = Requests[{Item->Ticket_.Team_, Item->Ticket_.Class_}];
+    Request.Pool_ = Pool;
+    Request.Team_ = Item->Ticket_.Team_;
+    Request.Class_ = Item->Ticket_.Class_;
+    Request.Until_ =
+        std::max(Request.Until_, Item->Ticket_.Deadline_ + LoanReuseMargin);
+    ++Request.Count_;
   }
-  for (auto &[Key, Wish] : Wishes) {
+  for (auto &[Key, Request] : Requests) {
     // Divided among the peers: requesting the full count from each would borrow
     // many times what is needed and withhold it from other entries.
-    Wish.Count_ =
-        std::min(Wish.Count_, freePermits(Wish.Team_) + BorrowHeadroom);
-    Wish.Count_ = (Wish.Count_ + Peers.size() - 1) / Peers.size();
+    Request.Count_ =
+        std::min(Request.Count_, freePermits(Request.Team_) + BorrowHeadroom);
+    Request.Count_ = (Request.Count_ + Peers.size() - 1) / Peers.size();
     for (const membership::Member &Peer : Peers)
-      State_.Send_(Peer.Id_, Wish);
+      State_.Send_(Peer.Id_, Request);
     State_.Metrics_.counter("wishes_sent_total{kind=\"slot\"}")
         .add(Peers.size());
   }
@@ -186,11 +188,11 @@
   for (const auto &Item : Owners) {
     if (Item.Owner_ == State_.Self_.Id_ || Total == 0)
       continue;
-    peers::BorrowRequest Wish;
-    Wish.Team_ = Team;
-    Wish.Until_ = Until;
-    Wish.Count_ = std::max(1U, (Count * Item.Units_ + Total - 1) / Total);
-    State_.Send_(Item.Owner_, Wish);
+    peers::BorrowRequest Request;
+    Request.Team_ = Team;
+    Request.Until_ = Until;
+    Request.Count_ = std::max(1U, (Count * Item.Units_ + Total - 1) / Total);
+    State_.Send_(Item.Owner_, Request);
     State_.Metrics_.counter("wishes_sent_total{kind=\"team\"}").add();
   }
 }
--- a/src/entry/internal/placementservice.cpp
+++ b/src/entry/internal/placementservice.cpp
@@ -164,8 +164,8 @@
     if (const auto *Chosen = std::get_if<Ticket>(&Next)) {
       if (!tryStart(Pool, *Chosen, Blocked))
         break;
-    } else if (const auto *Wish = std::get_if<BorrowRequest>(&Next)) {
-      if (!grantSlotLoan(Pool, *Wish))
+    } else if (const auto *Request = std::get_if<BorrowRequest>(&Next)) {
+      if (!grantSlotLoan(Pool, *Request))
         break;
     } else {
       break;
--- a/src/entry/internal/requestrunner.cpp
+++ b/src/entry/internal/requestrunner.cpp
@@ -155,7 +155,7 @@
       Active.Request_, fingerprintOf(Active.Request_, Active.Body_));
   State_.Metrics_.summary("reservation_seconds")
       .record(std::chrono::duration<double>(State_.now() - Start).count());
-  switch (Result.Verdict_) {
+  switch (Result.Outcome_) {
   case ReservationOutcome::Granted:
     Active.Reservation_ = Result.Reservation_;
     return true;
@@ -307,7 +307,7 @@
         Duration(std::chrono::seconds(1))});
 }
 
-/// Records the answer at the key's homes before it is sent to the caller.
+/// Records the answer at the key's replicas before it is sent to the caller.
 void RequestRunner::recordAnswer(ActiveRequest &Active,
                                  const ForwardResult &Result) {
   State_.Metrics_.counter("requests_total{outcome=\"ran\"}").add();
--- a/src/entry/internal/reservationservice.cpp
+++ b/src/entry/internal/reservationservice.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// A home that has not answered within this time counts as hung; the two others
-/// decide.
+/// A replica that has not answered within this time counts as hung; the two
+/// others decide.
 constexpr Duration ReplyTimeout = 400ms;
-/// Delay between attempts. Homes briefly answer ViewMismatch or NotReady while
-/// the view changes.
+/// Delay between attempts. Replicas briefly answer ViewMismatch or NotReady
+/// while the view changes.
 constexpr Duration InitialRetryDelay = 10ms;
 constexpr Duration MaxRetryDelay = 320ms;
 constexpr Duration RetryTimeout = 2s;
@@ -36,14 +36,14 @@
 }
 
 template <typename Message>
-void ReservationService::sendToHomes(const idempotency::RecordName &Name,
-                                     const Message &Body) {
-  for (const MemberId &Home :
+void ReservationService::sendToReplicas(const idempotency::RecordName &Name,
+                                        const Message &Body) {
+  for (const MemberId &Replica :
        idempotency::replicasOf(State_.View_, idempotency::bucketOf(Name))) {
-    if (Home == State_.Self_.Id_)
+    if (Replica == State_.Self_.Id_)
       handle({State_.Self_.Id_, "", {}}, Body);
     else
-      State_.Send_(Home, Body);
+      State_.Send_(Replica, Body);
   }
 }
 
@@ -56,10 +56,10 @@
     // The earlier attempt may finish within the retry time. Its answer is more
     // useful to the caller than "in progress".
     const bool InProgress =
-        Result.Verdict_ == ReservationOutcome::Duplicate &&
+        Result.Outcome_ == ReservationOutcome::Duplicate &&
         Result.Found_.State_ == idempotency::RecordState::Reserved &&
         Result.Found_.LeaseUntil_ > State_.now();
-    if ((Result.Verdict_ != ReservationOutcome::Retry && !InProgress) ||
+    if ((Result.Outcome_ != ReservationOutcome::Retry && !InProgress) ||
         State_.now() >= RetryDeadline)
       return Result;
     sleepFor(retryDelay(Attempt));
@@ -67,7 +67,7 @@
 }
 
 /// Randomized exponential backoff. Concurrent attempts with the same key can
-/// each reserve some homes and all fail; with equal delays they would do so
+/// each reserve some replicas and all fail; with equal delays they would do so
 /// repeatedly.
 Duration ReservationService::retryDelay(int Attempt) {
   const Duration MaxDelay =
@@ -92,17 +92,17 @@
                                        idempotency::bucketOf(Message.Name_))},
               std::make_shared<framework::fibers::Waiter>()});
   Pending_[Message.Attempt_.Sequence_] = Row;
-  sendToHomes(Message.Name_, Message);
+  sendToReplicas(Message.Name_, Message);
   if (Row->Tally_.outcome(false) == ReservationOutcome::Pending)
     Row->Waiter_->waitUntil(
         std::min(Request.Deadline_, State_.now() + ReplyTimeout));
   Pending_.erase(Message.Attempt_.Sequence_);
   ReservationResult Result;
-  Result.Verdict_ = Row->Tally_.outcome(true);
+  Result.Outcome_ = Row->Tally_.outcome(true);
   Result.Found_ = Row->Tally_.found();
   Result.Reservation_ = {Message.Name_, Message.Attempt_, Message.MintedAt_,
                          Message.LeaseUntil_, Fingerprint};
-  if (Result.Verdict_ != ReservationOutcome::Granted)
+  if (Result.Outcome_ != ReservationOutcome::Granted)
     abandon(Result.Reservation_);
   return Result;
 }
@@ -118,12 +118,12 @@
                        3 * framework::clock::ClockSkewMargin;
   Final.Fingerprint_ = Reserved.Fingerprint_;
   Final.Response_ = Answer;
-  sendToHomes(Reserved.Name_, peers::Finish{{Reserved.Name_, Final}});
+  sendToReplicas(Reserved.Name_, peers::Finish{{Reserved.Name_, Final}});
 }
 
 void ReservationService::abandon(const Reservation &Reserved) {
-  sendToHomes(Reserved.Name_,
-              peers::Abandon{Reserved.Name_, Reserved.Attempt_});
+  sendToReplicas(Reserved.Name_,
+                 peers::Abandon{Reserved.Name_, Reserved.Attempt_});
 }
 
 void ReservationService::handle(const peers::Sender &From,
--- a/src/entry/placementservice.h
+++ b/src/entry/placementservice.h
@@ -39,7 +39,7 @@
   /// preempted through \p Cancel in favor of urgent work.
   void markRunning(const WorkRequest &Request, CancelToken &Cancel);
 
-  void handle(const peers::Sender &From, const peers::BorrowRequest &Wish);
+  void handle(const peers::Sender &From, const peers::BorrowRequest &Request);
   void handle(const peers::Sender &From, const peers::LoanGrant &Granted);
   void handle(const peers::Sender &From, const peers::LoanReturn &Returned);
 
@@ -88,7 +88,7 @@
   bool tryStart(const fleet::PoolName &Pool, const sharing::Ticket &Ticket,
                 std::set<fleet::TeamName> &Blocked);
   bool grantSlotLoan(const fleet::PoolName &Pool,
-                     const sharing::BorrowRequest &Wish);
+                     const sharing::BorrowRequest &Request);
   void removeFromQueue(const WaitingRequestPtr &Item);
   void rejectWaiting(const WaitingRequestPtr &Item, Problem Reason);
 
--- a/src/entry/reservationservice.h
+++ b/src/entry/reservationservice.h
@@ -21,25 +21,25 @@
 
 /// Result of an attempt to reserve a key.
 struct ReservationResult {
-  idempotency::ReservationOutcome Verdict_ =
+  idempotency::ReservationOutcome Outcome_ =
       idempotency::ReservationOutcome::Retry;
   Reservation Reservation_;
   /// The existing record; set with Duplicate.
   idempotency::Record Found_;
 };
 
-/// Reserves idempotency keys at their homes, the entries that store a key's
-/// records, and reports the outcome of attempts to them. As a home, copies
-/// records from the former homes when the view changes.
+/// Reserves idempotency keys at their replicas, the entries that store a key's
+/// records, and reports the outcome of attempts to them. As a replica, copies
+/// records from the former replicas when the view changes.
 class ReservationService {
 public:
   explicit ReservationService(EntryState &State)
       : State_(State), Random_(State.Self_.Id_.Incarnation_.value()) {}
 
-  /// Starts the fiber that requests copies from former homes.
+  /// Starts the fiber that requests copies from former replicas.
   void start();
 
-  /// Waits for a quorum of the key's homes. The verdict is never Pending.
+  /// Waits for a quorum of the key's replicas. The outcome is never Pending.
   ReservationResult reserve(const WorkRequest &Request,
                             std::uint64_t Fingerprint);
   void finish(const Reservation &Reserved, idempotency::RecordState State,
@@ -68,7 +68,7 @@
   Duration retryDelay(int Attempt);
   void copyLoop();
   template <typename Message>
-  void sendToHomes(const idempotency::RecordName &Name, const Message &Body);
+  void sendToReplicas(const idempotency::RecordName &Name, const Message &Body);
 
   EntryState &State_;
   std::map<std::uint64_t, std::shared_ptr<Pending>> Pending_;
--- a/src/peers/messages.h
+++ b/src/peers/messages.h
@@ -72,7 +72,7 @@
   std::vector<limits::LoanId> Loans_;
 };
 
-/// Reports the outcome of an attempt to a home of its idempotency key.
+/// Reports the outcome of an attempt to a replica of its idempotency key.
 struct Finish {
   idempotency::NamedRecord Record_;
 };
