--- a/src/entry/internal/configservice.cpp
+++ b/src/entry/internal/configservice.cpp
@@ -22,8 +22,8 @@
 constexpr Duration MaxWatchBackoff = 5s;
 constexpr Duration SnapshotRequestInterval = 200ms;
 
-/// Between half and all of \p Pause, so that entries that lost the store at the
-/// same time do not reconnect at the same time.
+/// Between half and all of \p Backoff, so that entries that lost the store at
+/// the same time do not reconnect at the same time.
 Duration jittered(Duration Backoff) {
   static std::mt19937_64 Random(std::random_device{}());
   return Backoff / 2 + Duration(Random() % (Backoff.count() / 2 + 1));
--- a/src/entry/membershipservice.h
+++ b/src/entry/membershipservice.h
@@ -34,7 +34,10 @@
   void leave(TimePoint Deadline);
 
   /// Removes a member whose VM has stopped, as reported by an operator or the
-  /// platform. \p Why is recorded in the decision log.
+  /// platform. \p Reason is recorded in the decision log. Returns
+  /// FailedPrecondition if no view is known, NotFound if \p Stopped is not a
+  /// member, Aborted if the view was changed concurrently, or the store's
+  /// error.
   absl::Status declareStopped(const MemberId &Stopped,
                               const std::string &Reason);
 
--- a/src/entry/plannerservice.h
+++ b/src/entry/plannerservice.h
@@ -11,8 +11,8 @@
 namespace laburnumspread::entry {
 
 /// Runs the wave and move planners while this entry holds the planner lease,
-/// which any entry may acquire. Every write is conditional on the lease record,
-/// so a process that was paused and lost the lease cannot write anything.
+/// which any entry may acquire. Every store write is conditional on the lease
+/// record, so a process that was paused and lost the lease changes nothing.
 class PlannerService {
 public:
   using Writer = config::ObjectWriter<store::EtcdStore>;
