--- a/src/entry/internal/forwarder.cpp
+++ b/src/entry/internal/forwarder.cpp
@@ -7,15 +7,17 @@
 
 namespace {
 
-/// A request that may run only once goes out on a connection whose other end
-/// was heard within this time, or on a new one: a path that has silently
-/// forgotten the connection would take the request and leave its outcome open.
+/// A non-repeatable request reuses a connection only if data was received on it
+/// within this time; otherwise a new one is opened. A network path that has
+/// silently dropped the connection would accept the request and leave its
+/// outcome unknown.
 constexpr Duration MaxIdleForNonRepeatable = 1s;
-/// Repeatable work can be sent again, so older proof will do.
+/// Repeatable requests can be sent again, so a longer idle time is acceptable.
 constexpr Duration MaxIdleForRepeatable = 10s;
 constexpr Duration ConnectTimeout = 1s;
 constexpr std::size_t ReadChunkBytes = 16 * 1024;
-/// Connections that an endpoint takes in all; the entries share them evenly.
+/// Total number of pooled connections to one endpoint, divided evenly among the
+/// entries.
 constexpr std::size_t ConnectionsPerEndpoint = 64;
 
 } // namespace
@@ -23,13 +25,13 @@
 Forwarder::ConnectionPtr
 Forwarder::takeIdleConnection(const std::string &Address, bool Repeatable) {
   auto &Conns = Idle_[Address];
-  const TimePoint Oldest =
+  const TimePoint MinProvenAt =
       State_.now() -
       (Repeatable ? MaxIdleForRepeatable : MaxIdleForNonRepeatable);
   while (!Conns.empty()) {
     ConnectionPtr Conn = std::move(Conns.back());
     Conns.pop_back();
-    if (Conn->provenAt() >= Oldest && !Conn->stale())
+    if (Conn->provenAt() >= MinProvenAt && !Conn->stale())
       return Conn;
   }
   return nullptr;
@@ -39,7 +41,7 @@
 Forwarder::connect(const std::string &Address, TimePoint Deadline) {
   const auto To = http::parseAddress(Address);
   if (!To)
-    return absl::InvalidArgumentError("bad address " + Address);
+    return absl::InvalidArgumentError("invalid endpoint address " + Address);
   ConnectionPtr Conn = http::Connection::make(Io_);
   absl::Status Status =
       Conn->connect(*To, std::min(Deadline, State_.now() + ConnectTimeout));
@@ -58,8 +60,8 @@
   if (Request.Key_)
     Head.Headers_.add("Idempotency-Key", Request.Key_->Text_);
   Head.Headers_.add("Request-Team", Request.Team_.str());
-  // The endpoint must not start, and must stop, work after this time: the
-  // permits that stand behind it are others' then.
+  // The endpoint must not start work after this time and must stop running
+  // work: the permits behind it may then be held by other requests.
   Head.Headers_.add(
       "Task-Lease-Until",
       std::to_string(framework::clock::toMillis(Request.Deadline_)));
@@ -70,17 +72,17 @@
 absl::Status Forwarder::sendRemainingBody(http::Connection &Conn,
                                           RequestBody &Body, TimePoint Deadline,
                                           bool &CallerFailed) {
-  std::string Part;
+  std::string Chunk;
   for (bool More = Body.Rest_ != nullptr; More;) {
-    Part.clear();
+    Chunk.clear();
     const absl::StatusOr<bool> Next =
-        Body.Rest_->readSome(Part, ReadChunkBytes);
+        Body.Rest_->readSome(Chunk, ReadChunkBytes);
     if (!Next.ok()) {
       CallerFailed = true;
       return Next.status();
     }
     More = *Next;
-    if (absl::Status Sent = Conn.write(Part, Deadline); !Sent.ok())
+    if (absl::Status Sent = Conn.write(Chunk, Deadline); !Sent.ok())
       return Sent;
   }
   return absl::OkStatus();
@@ -112,24 +114,24 @@
 }
 
 ForwardResult Forwarder::forward(const WorkRequest &Request,
-                                 const Placement &At, RequestBody &Body,
+                                 const Placement &Assigned, RequestBody &Body,
                                  CancelToken &Cancel) {
   ForwardResult Result;
-  const std::string Address = State_.Endpoints_.at(At.Endpoint_).Address_;
+  const std::string Address = State_.Endpoints_.at(Assigned.Endpoint_).Address_;
   Result.Connection_ = takeIdleConnection(Address, Request.Repeatable_);
   if (!Result.Connection_) {
-    auto Fresh = connect(Address, Request.Deadline_);
-    if (!Fresh.ok()) {
-      Result.Reason_ = std::string(Fresh.status().message());
+    auto NewConn = connect(Address, Request.Deadline_);
+    if (!NewConn.ok()) {
+      Result.Reason_ = std::string(NewConn.status().message());
       return Result;
     }
-    Result.Connection_ = std::move(*Fresh);
+    Result.Connection_ = std::move(*NewConn);
   }
-  // A process that was paused between the permit and here finds the deadline
-  // over; its permits may be others' by now.
+  // If this process was paused after it acquired the permits, the deadline may
+  // have passed, and other requests may hold the permits by now.
   if (State_.now() >= Request.Deadline_ || Cancel.cancelled() ||
       Cancel.preempted()) {
-    Result.Reason_ = "too late to send";
+    Result.Reason_ = "not sent: deadline passed or request cancelled";
     return Result;
   }
   if (Request.Repeatable_)
--- a/src/entry/internal/placementloans.cpp
+++ b/src/entry/internal/placementloans.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-// The part of PlacementService that lends what this entry owns and borrows
-// what it lacks.
+// The part of PlacementService that lends permits and slots to peers and
+// borrows them.
 
 namespace laburnumspread::entry {
 
@@ -15,23 +15,24 @@
 
 namespace {
 
-/// A wish is repeated this often and lapses at the owner a little later, so
-/// that a lost one costs one repetition and a stale one gets nothing.
+/// Borrow requests are repeated at this interval and expire at the owner a
+/// little later, so that a lost request costs one interval and a stale one gets
+/// no loan.
 constexpr Duration BorrowRequestInterval = 100ms;
 constexpr Duration BorrowRequestTtl = 300ms;
-/// A loan that nobody has used for this long goes home. Longer than the pause
-/// between two requests of a steady caller, so that skewed load does not
-/// borrow anew for each request.
+/// Loans unused for this long are returned. Longer than the gap between two
+/// requests of a steady caller, so that skewed load does not borrow again for
+/// each request.
 constexpr Duration MaxLoanIdleTime = 100ms;
-/// A request needs a permit and a slot. Of either kind an entry asks for no
-/// more than it has of the other, and this many beyond so that it can start
-/// from nothing. Asking for all it could use of both let permits lie idle
-/// where slots were wanting, and the other way round.
+/// A request needs a permit and a slot. An entry borrows at most as many of one
+/// as it has free of the other, plus this number so that it can start with
+/// none. Borrowing for all waiting requests left permits idle where slots were
+/// missing, and vice versa.
 constexpr std::uint32_t BorrowHeadroom = 2;
-/// A loan is asked for beyond the deadline of the request that needs it, so
-/// that later requests, with later deadlines, can use it too. Without this
-/// each loan served one round of requests and then lay idle until it went
-/// home (docs/design/limits.md has the figures).
+/// Loans are requested for this long beyond the deadline of the request that
+/// needs them, so that later requests with later deadlines can reuse them.
+/// Without it, each loan served one round of requests and then lay idle until
+/// it was returned (measurements in docs/design/limits.md).
 constexpr Duration LoanReuseMargin = 10s;
 constexpr std::uint32_t MaxLoansPerRequest = 64;
 
@@ -40,67 +41,69 @@
 // Lending
 
 bool PlacementService::grantSlotLoan(const PoolName &Pool,
-                                     const BorrowRequest &Wish) {
+                                     const BorrowRequest &Request) {
   for (EndpointIndex Index : State_.Endpoints_.inPool(Pool)) {
     const auto &Row = State_.Endpoints_.at(Index);
     if (!Row.Open_ || State_.Ledger_.freeOwnedUnits(Row.Subject_) == 0)
       continue;
     const auto Loans =
-        State_.Ledger_.lend(Row.Subject_, Wish.From_, 1, Wish.Until_);
-    State_.Send_(Wish.From_, peers::LoanGrant{Loans, Pool, Wish.Team_});
+        State_.Ledger_.lend(Row.Subject_, Request.From_, 1, Request.Until_);
+    State_.Send_(Request.From_, peers::LoanGrant{Loans, Pool, Request.Team_});
     State_.Metrics_.counter("loans_granted_total{kind=\"slot\"}").add();
-    poolState(Pool).Queue_.recordGrant(Wish);
+    poolState(Pool).Queue_.recordGrant(Request);
     return true;
   }
   return false;
 }
 
 void PlacementService::serveTeamBorrowRequests(const TeamName &Team) {
-  const auto Wishes = TeamBorrowRequests_.find(Team);
+  const auto Requests = TeamBorrowRequests_.find(Team);
   const auto Subject = State_.Ledger_.find(teamSubject(Team.str()));
-  if (Wishes == TeamBorrowRequests_.end() || !Subject)
+  if (Requests == TeamBorrowRequests_.end() || !Subject)
     return;
-  for (BorrowRequest &Wish : Wishes->second) {
-    if (Wish.ExpiresAt_ <= State_.now() || Wish.Count_ == 0)
+  for (BorrowRequest &Request : Requests->second) {
+    if (Request.ExpiresAt_ <= State_.now() || Request.Count_ == 0)
       continue;
-    const auto Loans =
-        State_.Ledger_.lend(*Subject, Wish.From_, Wish.Count_, Wish.Until_);
+    const auto Loans = State_.Ledger_.lend(*Subject, Request.From_,
+                                           Request.Count_, Request.Until_);
     if (Loans.empty())
       break;
-    Wish.Count_ -= Loans.size();
+    Request.Count_ -= Loans.size();
     State_.Metrics_.counter("loans_granted_total{kind=\"team\"}")
         .add(Loans.size());
-    State_.Send_(Wish.From_, peers::LoanGrant{Loans, PoolName(), Team});
+    State_.Send_(Request.From_, peers::LoanGrant{Loans, PoolName(), Team});
   }
-  std::erase_if(Wishes->second, [&](const BorrowRequest &Wish) {
-    return Wish.Count_ == 0 || Wish.ExpiresAt_ <= State_.now();
+  std::erase_if(Requests->second, [&](const BorrowRequest &Request) {
+    return Request.Count_ == 0 || Request.ExpiresAt_ <= State_.now();
   });
-  if (Wishes->second.empty())
-    TeamBorrowRequests_.erase(Wishes);
+  if (Requests->second.empty())
+    TeamBorrowRequests_.erase(Requests);
 }
 
 void PlacementService::handle(const peers::Sender &From,
-                              const peers::BorrowRequest &Asked) {
+                              const peers::BorrowRequest &Message) {
   if (State_.fenced())
     return;
   const TimePoint Now = State_.now();
-  BorrowRequest Wish{From.Id_,
-                     Asked.Team_,
-                     Asked.Class_,
-                     std::min(Asked.Count_, MaxLoansPerRequest),
-                     std::min(Asked.Until_, Now + membership::MaxTaskLease),
-                     Now + BorrowRequestTtl};
-  if (!Asked.Pool_.empty()) {
-    if (!findPool(Asked.Pool_))
+  BorrowRequest Request{
+      From.Id_,
+      Message.Team_,
+      Message.Class_,
+      std::min(Message.Count_, MaxLoansPerRequest),
+      std::min(Message.Until_, Now + membership::MaxTaskLease),
+      Now + BorrowRequestTtl};
+  if (!Message.Pool_.empty()) {
+    if (!findPool(Message.Pool_))
       return;
-    poolState(Asked.Pool_).Queue_.addBorrowRequest(Wish);
-    return dispatchWaiting(Asked.Pool_);
+    poolState(Message.Pool_).Queue_.addBorrowRequest(Request);
+    return dispatchWaiting(Message.Pool_);
   }
-  auto &Wishes = TeamBorrowRequests_[Asked.Team_];
-  std::erase_if(
-      Wishes, [&](const BorrowRequest &Old) { return Old.From_ == From.Id_; });
-  Wishes.push_back(Wish);
-  serveTeamBorrowRequests(Asked.Team_);
+  auto &Requests = TeamBorrowRequests_[Message.Team_];
+  std::erase_if(Requests, [&](const BorrowRequest &Old) {
+    return Old.From_ == From.Id_;
+  });
+  Requests.push_back(Request);
+  serveTeamBorrowRequests(Message.Team_);
 }
 
 void PlacementService::handle(const peers::Sender &,
@@ -116,10 +119,10 @@
                               const peers::LoanReturn &Returned) {
   for (const limits::LoanId &Id : Returned.Loans_)
     State_.Ledger_.acceptReturn(Id);
-  std::vector<TeamName> Wishing;
-  for (const auto &[Team, Wishes] : TeamBorrowRequests_)
-    Wishing.push_back(Team);
-  for (const TeamName &Team : Wishing)
+  std::vector<TeamName> Teams;
+  for (const auto &[Team, Requests] : TeamBorrowRequests_)
+    Teams.push_back(Team);
+  for (const TeamName &Team : Teams)
     serveTeamBorrowRequests(Team);
   dispatchAllPools();
 }
@@ -135,26 +138,26 @@
     return;
   Row.BorrowRequestedAt_ = State_.now();
   std::map<std::pair<TeamName, fleet::RequestClass>, peers::BorrowRequest>
-      Wishes;
+      Requests;
   for (const auto &[Id, Item] : Tickets_) {
     if (Item->Request_->Pool_ != Pool)
       continue;
-    auto &Wish = Wishes[{Item->Ticket_.Team_, Item->Ticket_.Class_}];
-    Wish.Pool_ = Pool;
-    Wish.Team_ = Item->Ticket_.Team_;
-    Wish.Class_ = Item->Ticket_.Class_;
-    Wish.Until_ =
-        std::max(Wish.Until_, Item->Ticket_.Deadline_ + LoanReuseMargin);
-    ++Wish.Count_;
+    auto &Request = Requests[{Item->Ticket_.Team_, Item->Ticket_.Class_}];
+    Request.Pool_ = Pool;
+    Request.Team_ = Item->Ticket_.Team_;
+    Request.Class_ = Item->Ticket_.Class_;
+    Request.Until_ =
+        std::max(Request.Until_, Item->Ticket_.Deadline_ + LoanReuseMargin);
+    ++Request.Count_;
   }
-  for (auto &[Key, Wish] : Wishes) {
-    // Shared out over the peers: asking each for all would take in many times
-    // what is needed and keep it from others.
-    Wish.Count_ =
-        std::min(Wish.Count_, freePermits(Wish.Team_) + BorrowHeadroom);
-    Wish.Count_ = (Wish.Count_ + Peers.size() - 1) / Peers.size();
+  for (auto &[Key, Request] : Requests) {
+    // Divided among the peers: requesting the full count from each would borrow
+    // many times what is needed and withhold it from other entries.
+    Request.Count_ =
+        std::min(Request.Count_, freePermits(Request.Team_) + BorrowHeadroom);
+    Request.Count_ = (Request.Count_ + Peers.size() - 1) / Peers.size();
     for (const membership::Member &Peer : Peers)
-      State_.Send_(Peer.Id_, Wish);
+      State_.Send_(Peer.Id_, Request);
     State_.Metrics_.counter("wishes_sent_total{kind=\"slot\"}")
         .add(Peers.size());
   }
@@ -185,11 +188,11 @@
   for (const auto &Item : Owners) {
     if (Item.Owner_ == State_.Self_.Id_ || Total == 0)
       continue;
-    peers::BorrowRequest Wish;
-    Wish.Team_ = Team;
-    Wish.Until_ = Until;
-    Wish.Count_ = std::max(1U, (Count * Item.Units_ + Total - 1) / Total);
-    State_.Send_(Item.Owner_, Wish);
+    peers::BorrowRequest Request;
+    Request.Team_ = Team;
+    Request.Until_ = Until;
+    Request.Count_ = std::max(1U, (Count * Item.Units_ + Total - 1) / Total);
+    State_.Send_(Item.Owner_, Request);
     State_.Metrics_.counter("wishes_sent_total{kind=\"team\"}").add();
   }
 }
--- a/src/entry/internal/placementservice.cpp
+++ b/src/entry/internal/placementservice.cpp
@@ -17,8 +17,8 @@
 namespace {
 
 constexpr Duration TickInterval = 50ms;
-/// An urgent request that has waited this long may stop batch work. Leaves
-/// most of the 2.7 s within which urgent work has to start.
+/// Waiting time after which an urgent request preempts batch work. Leaves most
+/// of the 2.7 s within which urgent work must start.
 constexpr Duration UrgentWaitBeforePreemption = 500ms;
 constexpr Duration MinRetryAfter = 1s;
 
@@ -53,7 +53,7 @@
   return Declared ? Declared->Spec_.Share_ : 1;
 }
 
-// Arrival
+// Admission
 
 std::optional<Problem>
 PlacementService::checkAdmission(const WorkRequest &Request) {
@@ -71,18 +71,18 @@
                    {}};
   if (!State_.Endpoints_.anyHealthy(Request.Pool_))
     return Problem{ProblemCode::NoEndpoint,
-                   "no endpoint of the pool takes work now",
+                   "no endpoint of the pool is accepting work",
                    fleet::Outcome::NotRun, routing::BaseEjectionTime};
   const sharing::PoolQueue &Queue = poolState(Request.Pool_).Queue_;
   const std::uint32_t Slots = State_.Endpoints_.openSlots(Request.Pool_);
-  // Only the waiters of this team count: the others do not hold up a team
-  // that is below its share, and this is to refuse the hopeless alone.
+  // Counts only this team's waiting requests: other teams do not delay a team
+  // below its share, and only requests that cannot make it are to be refused.
   const Duration Wait = State_.Estimates_.estimatedWait(
       Request.Pool_, Queue.waiting(Request.Team_), Slots);
   if (Request.Class_ != fleet::RequestClass::Urgent &&
       State_.now() + Wait > Request.Deadline_)
     return Problem{ProblemCode::WaitExceedsDeadline,
-                   "the team's queue is longer than the time to the deadline",
+                   "the expected waiting time exceeds the deadline",
                    fleet::Outcome::NotRun, std::max(Wait, MinRetryAfter)};
   return std::nullopt;
 }
@@ -143,13 +143,13 @@
 }
 
 void PlacementService::rejectWaiting(const WaitingRequestPtr &Item,
-                                     Problem Why) {
+                                     Problem Reason) {
   removeFromQueue(Item);
-  Item->Refusal_ = std::move(Why);
+  Item->Refusal_ = std::move(Reason);
   Item->Waiter_->signal();
 }
 
-// Choice
+// Dispatch
 
 void PlacementService::dispatchWaiting(const PoolName &Pool) {
   PoolState &Row = poolState(Pool);
@@ -164,8 +164,8 @@
     if (const auto *Chosen = std::get_if<Ticket>(&Next)) {
       if (!tryStart(Pool, *Chosen, Blocked))
         break;
-    } else if (const auto *Wish = std::get_if<BorrowRequest>(&Next)) {
-      if (!grantSlotLoan(Pool, *Wish))
+    } else if (const auto *Request = std::get_if<BorrowRequest>(&Next)) {
+      if (!grantSlotLoan(Pool, *Request))
         break;
     } else {
       break;
@@ -176,7 +176,7 @@
     requestPermitLoans();
 }
 
-/// Returns whether to go on choosing.
+/// Returns whether to continue with the next choice.
 bool PlacementService::tryStart(const PoolName &Pool, const Ticket &Chosen,
                                 std::set<TeamName> &Blocked) {
   const auto Found = Tickets_.find(Chosen.Id_);
@@ -199,7 +199,7 @@
       Random_);
   if (!Endpoint) {
     poolState(Pool).WaitingForSlot_ = true;
-    // A request with endpoints to avoid must not hold up the others.
+    // Requests that avoid certain endpoints must not block other teams.
     if (Item->Avoid_.empty())
       return false;
     Blocked.insert(Chosen.Team_);
@@ -226,24 +226,25 @@
   return true;
 }
 
-void PlacementService::finish(const WorkRequest &Request, const Placement &Held,
-                              routing::ExchangeResult How, Duration RunTime,
+void PlacementService::finish(const WorkRequest &Request,
+                              const Placement &Assigned,
+                              routing::ExchangeResult Outcome, Duration RunTime,
                               const CancelToken &Cancel) {
-  State_.Ledger_.release(Held.TeamPermit_);
-  State_.Ledger_.release(Held.SlotPermit_);
+  State_.Ledger_.release(Assigned.TeamPermit_);
+  State_.Ledger_.release(Assigned.SlotPermit_);
   State_.Usage_.addRunning(Request.Pool_, Request.Team_, -1);
   const fleet::Pool *Pool = findPool(Request.Pool_);
   const auto Change = State_.Endpoints_.exchangeEnded(
-      Held.Endpoint_, How, Pool ? Pool->Spec_.EjectionCapPercent_ : 0,
+      Assigned.Endpoint_, Outcome, Pool ? Pool->Spec_.EjectionCapPercent_ : 0,
       State_.now());
-  const std::string &Vm = State_.Endpoints_.at(Held.Endpoint_).Vm_.str();
+  const std::string &Vm = State_.Endpoints_.at(Assigned.Endpoint_).Vm_.str();
   if (Change == routing::HealthChange::Ejected)
     State_.Decisions_.add(DecisionKind::Ejection, Vm, "failures-in-a-row",
                           "pool " + Request.Pool_.str());
   if (Change == routing::HealthChange::Restored)
     State_.Decisions_.add(DecisionKind::Return, Vm, "probation-passed",
                           "pool " + Request.Pool_.str());
-  if (How == routing::ExchangeResult::Succeeded)
+  if (Outcome == routing::ExchangeResult::Succeeded)
     State_.Estimates_.recordRunTime(Request.Pool_, Request.Team_, RunTime);
   std::erase_if(Preemptible_,
                 [&](const Preemptible &Row) { return Row.Cancel_ == &Cancel; });
@@ -257,7 +258,7 @@
     Preemptible_.push_back({Request.Pool_, &Cancel});
 }
 
-// Upkeep
+// Periodic work
 
 void PlacementService::preemptForUrgent() {
   for (auto &[Name, Row] : Pools_) {
@@ -273,7 +274,7 @@
     CancelToken *Cancel = Victim->Cancel_;
     Preemptible_.erase(Victim);
     State_.Decisions_.add(DecisionKind::Preemption, Pool.str(), "urgent-waits",
-                          "batch work is stopped");
+                          "batch request preempted");
     Cancel->preempt();
   }
 }
--- a/src/entry/internal/reservationservice.cpp
+++ b/src/entry/internal/reservationservice.cpp
@@ -11,9 +11,11 @@
 
 namespace {
 
-/// A home that has not answered by then counts as hung; the two others decide.
+/// A replica that has not answered within this time counts as hung; the two
+/// others decide.
 constexpr Duration ReplyTimeout = 400ms;
-/// While a view changes, homes answer ViewMismatch or NotReady for a moment.
+/// Delay between attempts. Replicas briefly answer ViewMismatch or NotReady
+/// while the view changes.
 constexpr Duration InitialRetryDelay = 10ms;
 constexpr Duration MaxRetryDelay = 320ms;
 constexpr Duration RetryTimeout = 2s;
@@ -34,43 +36,44 @@
 }
 
 template <typename Message>
-void ReservationService::sendToHomes(const idempotency::RecordName &Name,
-                                     const Message &Body) {
-  for (const MemberId &Home :
+void ReservationService::sendToReplicas(const idempotency::RecordName &Name,
+                                        const Message &Body) {
+  for (const MemberId &Replica :
        idempotency::replicasOf(State_.View_, idempotency::bucketOf(Name))) {
-    if (Home == State_.Self_.Id_)
+    if (Replica == State_.Self_.Id_)
       handle({State_.Self_.Id_, "", {}}, Body);
     else
-      State_.Send_(Home, Body);
+      State_.Send_(Replica, Body);
   }
 }
 
 ReservationResult ReservationService::reserve(const WorkRequest &Request,
                                               std::uint64_t Fingerprint) {
-  const TimePoint GiveUp =
+  const TimePoint RetryDeadline =
       std::min(Request.Deadline_, State_.now() + RetryTimeout);
-  for (int Try = 1;; ++Try) {
+  for (int Attempt = 1;; ++Attempt) {
     ReservationResult Result = attemptReservation(Request, Fingerprint);
-    // The first attempt may be about to end, or its end may be on its way to
-    // the homes: its answer is better than "in progress".
-    const bool UnderWay =
-        Result.Verdict_ == ReservationOutcome::Duplicate &&
+    // The earlier attempt may finish within the retry time. Its answer is more
+    // useful to the caller than "in progress".
+    const bool InProgress =
+        Result.Outcome_ == ReservationOutcome::Duplicate &&
         Result.Found_.State_ == idempotency::RecordState::Reserved &&
         Result.Found_.LeaseUntil_ > State_.now();
-    if ((Result.Verdict_ != ReservationOutcome::Retry && !UnderWay) ||
-        State_.now() >= GiveUp)
+    if ((Result.Outcome_ != ReservationOutcome::Retry && !InProgress) ||
+        State_.now() >= RetryDeadline)
       return Result;
-    sleepFor(retryDelay(Try));
+    sleepFor(retryDelay(Attempt));
   }
 }
 
-/// Attempts with one key that start together each take a home from the others
-/// and all give up. With equal pauses they would do so again and again; random
-/// ones that grow let one of them through.
-Duration ReservationService::retryDelay(int Try) {
-  const Duration Most =
-      std::min(InitialRetryDelay * (1 << std::min(Try, 10)), MaxRetryDelay);
-  return Duration(Random_() % static_cast<std::uint64_t>(Most.count()) + 1000);
+/// Randomized exponential backoff. Concurrent attempts with the same key can
+/// each reserve some replicas and all fail; with equal delays they would do so
+/// repeatedly.
+Duration ReservationService::retryDelay(int Attempt) {
+  const Duration MaxDelay =
+      std::min(InitialRetryDelay * (1 << std::min(Attempt, 10)), MaxRetryDelay);
+  return Duration(Random_() % static_cast<std::uint64_t>(MaxDelay.count()) +
+                  1000);
 }
 
 ReservationResult
@@ -89,37 +92,38 @@
                                        idempotency::bucketOf(Message.Name_))},
               std::make_shared<framework::fibers::Waiter>()});
   Pending_[Message.Attempt_.Sequence_] = Row;
-  sendToHomes(Message.Name_, Message);
+  sendToReplicas(Message.Name_, Message);
   if (Row->Tally_.outcome(false) == ReservationOutcome::Pending)
     Row->Waiter_->waitUntil(
         std::min(Request.Deadline_, State_.now() + ReplyTimeout));
   Pending_.erase(Message.Attempt_.Sequence_);
   ReservationResult Result;
-  Result.Verdict_ = Row->Tally_.outcome(true);
+  Result.Outcome_ = Row->Tally_.outcome(true);
   Result.Found_ = Row->Tally_.found();
   Result.Reservation_ = {Message.Name_, Message.Attempt_, Message.MintedAt_,
                          Message.LeaseUntil_, Fingerprint};
-  if (Result.Verdict_ != ReservationOutcome::Granted)
+  if (Result.Outcome_ != ReservationOutcome::Granted)
     abandon(Result.Reservation_);
   return Result;
 }
 
-void ReservationService::finish(const Reservation &Held,
-                                idempotency::RecordState How,
+void ReservationService::finish(const Reservation &Reserved,
+                                idempotency::RecordState State,
                                 const idempotency::StoredResponse &Answer) {
   idempotency::Record Final;
-  Final.Attempt_ = Held.Attempt_;
-  Final.State_ = How;
-  Final.LeaseUntil_ = Held.LeaseUntil_;
-  Final.ForgetAfter_ = Held.MintedAt_ + idempotency::KeyWindow +
+  Final.Attempt_ = Reserved.Attempt_;
+  Final.State_ = State;
+  Final.LeaseUntil_ = Reserved.LeaseUntil_;
+  Final.ForgetAfter_ = Reserved.MintedAt_ + idempotency::KeyWindow +
                        3 * framework::clock::ClockSkewMargin;
-  Final.Fingerprint_ = Held.Fingerprint_;
+  Final.Fingerprint_ = Reserved.Fingerprint_;
   Final.Response_ = Answer;
-  sendToHomes(Held.Name_, peers::Finish{{Held.Name_, Final}});
+  sendToReplicas(Reserved.Name_, peers::Finish{{Reserved.Name_, Final}});
 }
 
-void ReservationService::abandon(const Reservation &Held) {
-  sendToHomes(Held.Name_, peers::Abandon{Held.Name_, Held.Attempt_});
+void ReservationService::abandon(const Reservation &Reserved) {
+  sendToReplicas(Reserved.Name_,
+                 peers::Abandon{Reserved.Name_, Reserved.Attempt_});
 }
 
 void ReservationService::handle(const peers::Sender &From,
--- a/src/fleet/tests/resourcejsontest.cpp
+++ b/src/fleet/tests/resourcejsontest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-template <typename T> FieldErrors faultsOf(std::string_view Text) {
+template <typename T> FieldErrors errorsOf(std::string_view Text) {
   FieldErrors Errors;
   readResource<T>(*parseJson(Text), Errors);
   return Errors;
@@ -15,7 +15,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(StoredFormReadsBackEqual) {
+BOOST_AUTO_TEST_CASE(StoredFormRoundTrips) {
   FieldErrors Errors;
   Vm Machine = readResource<Vm>(*parseJson(R"({
     // comments are welcome
@@ -33,8 +33,8 @@
   BOOST_TEST((Again.Status_ == Machine.Status_));
 }
 
-BOOST_AUTO_TEST_CASE(EveryFaultIsNamedWithItsPath) {
-  const FieldErrors Errors = faultsOf<Team>(
+BOOST_AUTO_TEST_CASE(EveryErrorIsReportedWithItsPath) {
+  const FieldErrors Errors = errorsOf<Team>(
       R"({"metadata": {"name": "Lunch"}, "spec": {"limit": -1, "shares": 2}})");
   BOOST_TEST(describe(Errors) ==
              "metadata.name: must be 1 to 63 of a-z, 0-9, '-' and '.'; "
@@ -42,23 +42,23 @@
              "spec.shares: unknown field");
 }
 
-BOOST_AUTO_TEST_CASE(BudgetTakesCountsAndPercentagesOnly) {
-  BOOST_TEST(describe(faultsOf<Pool>(R"({"metadata": {"name": "p"},
+BOOST_AUTO_TEST_CASE(BudgetAcceptsOnlyCountsAndPercentages) {
+  BOOST_TEST(describe(errorsOf<Pool>(R"({"metadata": {"name": "p"},
       "spec": {"budget": {"maxUnavailable": "101%"}}})"))
                  .starts_with("spec.budget.maxUnavailable: must be a count"));
-  BOOST_TEST(faultsOf<Pool>(R"({"metadata": {"name": "p"},
+  BOOST_TEST(errorsOf<Pool>(R"({"metadata": {"name": "p"},
       "spec": {"budget": {"maxUnavailable": "25%"}}})")
                  .empty());
   BOOST_TEST((CountOrPercent{25, true}.resolve(10)) == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(KeyTakesAHashNeverASecret) {
-  BOOST_TEST(describe(faultsOf<Key>(R"({"metadata": {"name": "k"},
+BOOST_AUTO_TEST_CASE(KeyAcceptsOnlyAHashOfTheSecret) {
+  BOOST_TEST(describe(errorsOf<Key>(R"({"metadata": {"name": "k"},
       "spec": {"team": "t", "sha256": "open sesame"}})")) ==
              "spec.sha256: must be 64 lower-case hexadecimal digits");
 }
 
-BOOST_AUTO_TEST_CASE(SyntaxErrorNamesTheLine) {
+BOOST_AUTO_TEST_CASE(SyntaxErrorReportsTheLine) {
   const auto Parsed = parseJson("{\n  \"a\": 1,\n  oops\n}");
   BOOST_TEST(!Parsed.ok());
   BOOST_TEST(Parsed.status().message().find("line 3") !=
