--- a/src/app/cellapp.h
+++ b/src/app/cellapp.h
@@ -10,18 +10,21 @@
 
 namespace laburnumspread::app {
 
-/// One entry that serves jobs on the platform: takes callers, and leads the
-/// cell when no other entry does. Lives on one thread.
+/// An entry that serves jobs on the platform: accepts callers' requests and
+/// campaigns for leadership of the cell. Not thread-safe; all work runs on the
+/// thread of the io_context.
 class CellApp {
 public:
   CellApp(boost::asio::io_context &Io, cell::CellSettings Settings);
   ~CellApp();
 
-  /// Binds the ports and starts all parts.
+  /// Binds the ports and starts all services. Returns the error of a port that
+  /// cannot be bound.
   absl::Status start();
 
-  /// Graceful shutdown: hands the cell over, answers what is in flight and
-  /// what still comes until the platform has noticed.
+  /// Graceful shutdown: hands leadership over and continues to serve requests
+  /// until the platform no longer routes callers here. Blocks the fiber until
+  /// the requests in flight are answered or the grace period is almost over.
   void stop();
 
   std::uint16_t callerPort() const;
@@ -29,11 +32,11 @@
   /// Whether this entry leads the cell.
   bool leads() const;
 
-  /// Takes up settings that may change while the process runs. Others are
-  /// named in the log and wait for a restart.
+  /// Applies the settings that can change at run time. Logs the names of
+  /// changed settings that need a restart.
   void reload(const cell::CellSettings &Settings);
 
-  /// The state of the process as JSON text.
+  /// Returns the state of the process as JSON text.
   std::string dump() const;
 
 private:
--- a/src/app/entryapp.h
+++ b/src/app/entryapp.h
@@ -10,27 +10,30 @@
 
 namespace laburnumspread::app {
 
-/// One entry: all parts, wired together. Lives on one thread.
+/// An entry that serves requests: creates and connects all services. Not
+/// thread-safe; all work runs on the thread of the io_context.
 class EntryApp {
 public:
   EntryApp(boost::asio::io_context &Io, entry::EntrySettings Settings);
   ~EntryApp();
 
-  /// Binds the ports and starts all parts.
+  /// Binds the ports and starts all services. Returns the error of a port that
+  /// cannot be bound.
   absl::Status start();
 
   std::uint16_t httpPort() const;
   std::uint16_t peerPort() const;
 
-  /// Graceful shutdown: no new work, everything in flight answered, what this
-  /// entry owns handed over. Returns whether nothing was left in flight.
+  /// Graceful shutdown: refuses new requests, completes those in flight and
+  /// hands over what this entry owns. Returns whether all requests completed.
   bool stop();
 
-  /// Whether a letter may be exchanged with an entry. Tests cut paths with it.
+  /// Returns whether messages may be exchanged with an entry. Tests simulate
+  /// network partitions with it.
   using PeerFilter = std::function<bool(const fleet::EntryName &)>;
   void setPeerFilter(PeerFilter IsAllowed);
 
-  /// The state of the process as JSON text.
+  /// Returns the state of the process as JSON text.
   std::string dump() const;
 
 private:
--- a/src/app/internal/cellapp.cpp
+++ b/src/app/internal/cellapp.cpp
@@ -28,8 +28,8 @@
 
 namespace {
 
-/// The platform needs two missed answers, a second apart, to send no more
-/// callers here.
+/// Time until the platform stops routing callers here: it takes two failed
+/// readiness probes, one second apart.
 constexpr auto DeregistrationTime = 2200ms;
 constexpr auto PollInterval = 20ms;
 
@@ -200,7 +200,7 @@
   framework::http::Server Callers_;
   framework::http::Server Readiness_;
   framework::http::Server MetricsServer_;
-  /// Entries that have sent anything, by name: the latest process of each.
+  /// Sender of the last message from each peer entry.
   std::map<fleet::EntryName, peers::Sender> KnownPeers_;
   std::size_t InFlight_ = 0;
   bool Leaving_ = false;
--- a/src/app/internal/entryapp.cpp
+++ b/src/app/internal/entryapp.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// Time in which an entry that was told to stop answers what is in flight.
+/// Time for requests in flight to complete during shutdown.
 constexpr auto DrainTimeout = membership::MaxTaskLease;
 constexpr auto HandoverTimeout = 20s;
 constexpr auto PollInterval = 20ms;
@@ -34,7 +34,7 @@
   return Self;
 }
 
-/// Brings endpoints and limits in line with a changed object.
+/// Applies a configuration change to the endpoints, limits and decision log.
 void applyChange(EntryState &State, const config::Change &Item) {
   const auto &Tables = State.Config_.tables();
   const bool Gone = Item.Type_ == config::ChangeType::Deleted;
@@ -100,8 +100,9 @@
     });
   }
 
-  /// Address of an entry: of the view, or as it last wrote. Names that start
-  /// with '@' are seeds, known by address alone.
+  /// Returns an entry's address from the view, or else the one that it sent;
+  /// empty if unknown. Names that start with '@' are seeds, of which only the
+  /// address is known.
   std::string addressOf(const membership::MemberId &To) const {
     if (To.Name_.str().starts_with('@'))
       return To.Name_.str().substr(1);
@@ -155,7 +156,7 @@
   void dispatch(const peers::Sender &, const peers::CancelRequest &Item) {
     Runner_.cancel(Item.Name_);
   }
-  /// Jobs are served by cell entries only.
+  // Messages about jobs are only for cell entries.
   void dispatch(const peers::Sender &, const peers::JobCall &) {}
   void dispatch(const peers::Sender &, const peers::JobReply &) {}
   void dispatch(const peers::Sender &, const peers::LeadershipOffer &) {}
@@ -182,8 +183,8 @@
     Into["callerConnections"] = Server_.openConnections();
   }
 
-  /// An entry serves once it has a configuration and a view, from the store or
-  /// from peers.
+  /// Marks the entry as started once it has a configuration and a view, from
+  /// the store or from peers.
   void markStartedWhenReady() {
     while (!State_.Started_) {
       State_.Started_ = State_.Config_.revision().value() > 0 &&
@@ -195,8 +196,8 @@
         .field("revision", State_.Config_.revision().value());
   }
 
-  /// Gives back what a bulk change has left in the heap: parsed documents come
-  /// and go, and at the design size a third of the resident memory was free.
+  /// Returns free heap memory to the system. After bulk changes, freed JSON
+  /// documents left a third of the resident memory unused at the design size.
   void trimLoop() {
     while (true) {
       sleepFor(HeapTrimInterval);
--- a/src/app/laburnumspreadd.cpp
+++ b/src/app/laburnumspreadd.cpp
@@ -14,7 +14,7 @@
 #include <boost/asio/signal_set.hpp>
 #include <cxxopts.hpp>
 
-// laburnumspreadd: one entry.
+// laburnumspreadd: the entry server process.
 
 namespace {
 
@@ -22,19 +22,19 @@
 
 constexpr int BadSettings = 2;
 constexpr int StartFailure = 1;
-/// A process that is killed loses the lines of this time at the most.
+/// Limits the log lines lost when the process is killed.
 constexpr auto LogFlushInterval = std::chrono::milliseconds(50);
-/// A settings file that changes without a signal is taken up after this at the
-/// most; a look reads a page.
+/// Interval at which the settings file is checked for changes without SIGHUP. A
+/// check reads about a page.
 constexpr auto SettingsPollInterval = std::chrono::seconds(2);
 
-/// A settings file that cannot be used leaves the old settings in force.
+/// Logs that the settings file is invalid and the old settings remain in force.
 void reportRejectedSettings(const absl::Status &Reason) {
   framework::log::error("settings.kept")
       .field("reason", std::string(Reason.message()));
 }
 
-/// Writes the dump to the standard output on each SIGUSR1.
+/// Writes the state dump to the standard output on each SIGUSR1.
 template <typename App>
 void dumpOnSignal(boost::asio::signal_set &Signals, App &Served) {
   Signals.async_wait([&Signals, &Served](const auto &Error, int) {
@@ -46,7 +46,7 @@
   });
 }
 
-/// Calls \p Reload on each SIGHUP, the sign that the settings file has changed.
+/// Calls \p Reload on each SIGHUP, which requests a reload of the settings.
 void reloadOnSignal(boost::asio::signal_set &Signals,
                     const std::function<void()> &Reload) {
   Signals.async_wait([&Signals, Reload](const auto &Error, int) {
@@ -57,7 +57,7 @@
   });
 }
 
-/// Calls \p Reload when the file has changed without a signal.
+/// Polls the settings file and calls \p Reload when it has changed.
 void reloadOnChange(
     const std::shared_ptr<framework::settings::SettingsWatch> &Watch,
     const std::function<void()> &Reload) {
@@ -70,7 +70,8 @@
   });
 }
 
-/// Serves until SIGTERM or SIGINT. \p Stop tells whether the end was clean.
+/// Serves until SIGTERM or SIGINT, then exits the process: with 0 if \p Stop
+/// returns true, with 1 otherwise.
 template <typename App>
 int serveUntilSignal(boost::asio::io_context &Io, App &Served,
                      const std::string &File,
@@ -100,8 +101,8 @@
   const bool Clean = Stop();
   framework::log::flush();
   std::cout.flush();
-  // Fibers of the parts run until the process ends; there is nothing left to
-  // unwind that would matter to anybody else.
+  // The services' fibers never end, and nothing outside the process depends on
+  // destructors, so exit without unwinding.
   std::_Exit(Clean ? 0 : 1);
 }
 
@@ -155,7 +156,7 @@
   });
 }
 
-/// Whether the settings are those of an entry that serves jobs.
+/// Returns whether the settings file is that of an entry that serves jobs.
 bool isCell(const std::string &File) {
   const auto Text = framework::settings::readSettingsFile(File);
   if (!Text.ok())
@@ -185,10 +186,10 @@
 int main(int ArgumentCount, char **Arguments) {
   std::signal(SIGPIPE, SIG_IGN);
   cxxopts::Options Options("laburnumspreadd",
-                           "One entry of a laburnumspread fleet");
+                           "Entry server of a laburnumspread fleet");
   Options.add_options()("config", "settings file, JSON with comments",
                         cxxopts::value<std::string>())(
-      "check", "only check the settings")("help", "help");
+      "check", "only check the settings")("help", "print this help");
   try {
     const auto Parsed = Options.parse(ArgumentCount, Arguments);
     if (Parsed.count("help")) {
--- a/src/app/tests/cluster.h
+++ b/src/app/tests/cluster.h
@@ -25,8 +25,9 @@
   return Io;
 }
 
-/// Several whole entries and the platform's stand-in in one process. Waits are
-/// for conditions; their generous bounds only end a test that is lost.
+/// Several complete entries and the simulated platform in one process. Tests
+/// wait for conditions; WaitTimeout only ends a test whose condition never
+/// holds.
 class Cluster {
 public:
   static constexpr auto WaitTimeout = std::chrono::seconds(60);
@@ -67,7 +68,8 @@
     return *Entries_.back();
   }
 
-  /// Declares a pool "orders" with all endpoints, a team and its key.
+  /// Declares a pool "orders" with all endpoints, a team and its key, and waits
+  /// until every entry serves requests.
   void declareFleet(int Limit = 8) {
     put("pools", "orders", R"({"budget": {"maxUnavailable": "50%"}})");
     put("teams", "caterers", R"({"limit": )" + std::to_string(Limit) + "}");
@@ -141,7 +143,7 @@
     return boost::json::parse(Entries_[Entry]->dump()).as_object();
   }
 
-  /// Members of the view of entry 0, if it is settled.
+  /// Number of members in the view of entry 0; -1 if the view is not settled.
   int members() {
     const auto View = dump(0).at("view").as_object();
     if (View.at("number") != View.at("settledThrough"))
@@ -149,7 +151,7 @@
     return static_cast<int>(View.at("members").as_array().size());
   }
 
-  /// Cuts an entry off from all others, and from the store if wanted.
+  /// Partitions an entry from all others, and from the store if \p Store.
   void isolate(int Entry, bool Store) {
     for (std::size_t I = 0; I < Entries_.size(); ++I)
       if (static_cast<int>(I) == Entry)
@@ -167,7 +169,7 @@
     Platform_.cutControl(ControlPorts_[Entry], false);
   }
 
-  /// Whether every entry serves and is in touch with all others.
+  /// Whether every entry has started and is in contact with all others.
   bool allReady() {
     for (std::size_t I = 0; I < Entries_.size(); ++I) {
       const auto State = dump(static_cast<int>(I));
@@ -194,8 +196,8 @@
     return framework::clock::SystemClock().now() + WaitTimeout;
   }
 
-  // Fibers of entries and platform run until the process ends, so these are
-  // never destroyed.
+  // The fibers of the entries and the platform run until the process exits, so
+  // these are never destroyed.
   standin::Platform &Platform_ = *new standin::Platform(sharedIo(), {});
   std::vector<EntryApp *> Entries_;
   std::vector<std::uint16_t> ControlPorts_;
--- a/src/app/tests/fleettest.cpp
+++ b/src/app/tests/fleettest.cpp
@@ -20,9 +20,9 @@
 
 } // namespace
 
-// An operator withdraws a key at one entry while another is cut off from the
-// store and from everybody. The callers of that one hear "not-run" although it
-// has never learned of the withdrawal, and it serves again when it is back.
+// An operator withdraws a key while another entry is partitioned from the store
+// and from all peers. That entry must refuse requests with "not-run", since it
+// cannot learn of the withdrawal, and must serve again after the partition.
 BOOST_AUTO_TEST_CASE(IsolatedEntryFailsClosed) {
   Cluster Fleet(3);
   Fleet.declareFleet();
@@ -37,8 +37,9 @@
       [&] { return Cluster::codeOf(Fleet.submit(2)) == "unknown-key"; }));
 }
 
-// The store is down for everybody. Nothing can be withdrawn then, so work goes
-// on, also at an entry that starts meanwhile and knows all from its peers.
+// The store is down for all entries. No key can be withdrawn then, so requests
+// must still be served, also by an entry that starts during the outage and gets
+// its configuration from peers.
 BOOST_AUTO_TEST_CASE(RequestsAreServedDuringAStoreOutage) {
   Cluster Fleet(3);
   Fleet.declareFleet();
@@ -56,9 +57,9 @@
   BOOST_TEST(Cluster::waitFor([&] { return Fleet.members() == 4; }));
 }
 
-// One order reaches all entries at the same moment, as a caller that retries
-// through a balancer can make it. It runs once, and every caller gets either
-// its answer or the truth.
+// The same request reaches all entries at once, as when a caller retries
+// through a load balancer. It must run once, and every response must state the
+// outcome.
 BOOST_AUTO_TEST_CASE(SameKeySentToAllEntriesRunsOnce) {
   Cluster Fleet(4);
   Fleet.declareFleet();
@@ -95,8 +96,8 @@
   BOOST_TEST(Fleet.Platform_.ledger().StartsByKey_["caterers/" + Key] == 1u);
 }
 
-// The endpoint takes the order, does the work and its answer is cut. Nobody
-// can know from here whether it ran; a second try with the key must not run.
+// The endpoint runs the request and its response is truncated. The outcome is
+// unknown to the entry, so a retry with the same key must not run.
 BOOST_AUTO_TEST_CASE(TruncatedResponseIsUnknownAndNotRetried) {
   Cluster Fleet(3, 1);
   Fleet.declareFleet();
@@ -112,8 +113,8 @@
   BOOST_TEST(Fleet.Platform_.ledger().StartsByKey_["caterers/" + Key] == 1u);
 }
 
-// A repeatable request meets the same fault and is tried elsewhere, so its
-// caller sees one whole answer.
+// The same fault for a repeatable request: it must be retried on another
+// endpoint, and the caller must get one complete response.
 BOOST_AUTO_TEST_CASE(RepeatableRequestIsRetriedOnAnotherEndpoint) {
   Cluster Fleet(1, 2);
   Fleet.declareFleet();
@@ -126,8 +127,8 @@
   }
 }
 
-// The whole limit is wanted at one entry, which owns a third of it. The rest
-// is borrowed; never more than the limit runs.
+// All requests of a team arrive at one entry, which owns a third of the team's
+// limit. It must borrow the rest, and never run more than the limit.
 BOOST_AUTO_TEST_CASE(LimitIsReachedButNotExceededFromOneEntry) {
   Cluster Fleet(3);
   Fleet.declareFleet(10);
@@ -145,8 +146,8 @@
   BOOST_TEST(Fleet.Platform_.ledger().MostByTeam_["caterers"] == 10);
 }
 
-// The store loses what it had accepted: it comes back from a backup that was
-// made before a key was withdrawn. Taking it would bring the key back.
+// The store is restored from a backup made before a key was withdrawn. The
+// entries must refuse that state: accepting it would make the key valid again.
 BOOST_AUTO_TEST_CASE(StoreBackupDoesNotRestoreAWithdrawnKey) {
   Cluster Fleet(2);
   Fleet.declareFleet();
@@ -175,8 +176,9 @@
   BOOST_TEST(Fleet.Platform_.ledger().StartsByKey_["caterers/" + Key] == 1u);
 }
 
-// A VM leaves under load: no request is cut, and the drain is told as done
-// only when every entry has acknowledged it and runs nothing there.
+// A VM is drained under load. No request may be interrupted, and the drain may
+// only be reported as done once every entry has acknowledged it and runs
+// nothing on the VM.
 BOOST_AUTO_TEST_CASE(DrainDoesNotInterruptRequests) {
   Cluster Fleet(3);
   Fleet.declareFleet();
--- a/src/app/tests/interfacetest.cpp
+++ b/src/app/tests/interfacetest.cpp
@@ -16,7 +16,8 @@
 
 namespace {
 
-/// One entry with a declared fleet, shared by the cases that change nothing.
+/// One entry with a declared fleet, shared by the test cases that leave pools
+/// and endpoints unchanged.
 Cluster &sharedCluster() {
   static Cluster &Fleet = *[] {
     auto *Instance = new Cluster(1, 2);
@@ -38,7 +39,7 @@
   return Fields;
 }
 
-/// Sends bytes as they are and reads until the server closes.
+/// Sends raw bytes and reads until the server closes the connection.
 std::string rawExchange(std::uint16_t Port, const std::string &Bytes) {
   tcp::socket Socket(sharedIo());
   await([&](auto Done) {
@@ -115,8 +116,8 @@
                                         Cluster::Caller)) == "unknown-key");
 }
 
-// Callers that send rubbish, too much, or too slowly hear why; nobody finds a
-// closed socket without a word, and others are served meanwhile.
+// Malformed, oversized and slow requests must get an error response before the
+// connection is closed, and must not affect other callers.
 BOOST_AUTO_TEST_CASE(MalformedRequestsGetAnErrorResponse) {
   Cluster &Fleet = sharedCluster();
   const std::uint16_t Port = Fleet.Entries_[0]->httpPort();
@@ -129,7 +130,7 @@
                            std::string(Cluster::Caller) + "\r\n";
   BOOST_TEST(rawExchange(Port, Head + "Content-Length: 99999999999\r\n\r\n")
                  .starts_with("HTTP/1.1 413"));
-  // Half a header, and half a body, then silence.
+  // An incomplete header and an incomplete body, each without further data.
   BOOST_TEST(rawExchange(Port, "POST / HT").starts_with("HTTP/1.1 408"));
   const std::string Slow =
       rawExchange(Port, Head + "Content-Length: 100\r\n\r\nhalf");
@@ -146,8 +147,9 @@
   BOOST_TEST((Answer.Body_ == Body));
 }
 
-// An endpoint sends more than the limit. The caller must not take the part for
-// the whole: the connection breaks before the announced end.
+// An endpoint sends a response larger than the limit. The entry must break the
+// connection before the announced end, so that the caller does not take a part
+// for the complete response.
 BOOST_AUTO_TEST_CASE(OversizedResponseIsNotDeliveredAsComplete) {
   Cluster Fleet(1, 1);
   Fleet.declareFleet();
@@ -230,8 +232,9 @@
       410);
 }
 
-// The caller goes away while its request waits. The request leaves the queue;
-// its slot and permit serve others.
+// Callers close their connections while one request runs and another one waits.
+// The waiting one must leave the queue, the running one must be stopped, and
+// both must release their slot and permit.
 BOOST_AUTO_TEST_CASE(ClosingTheConnectionCancelsTheRequest) {
   Cluster Fleet(1, 1);
   Fleet.declareFleet(1);
