--- a/src/api/apicontext.h
+++ b/src/api/apicontext.h
@@ -14,7 +14,7 @@
 
 using Writer = config::ObjectWriter<store::EtcdStore>;
 
-/// What the HTTP interface works on.
+/// The services that the HTTP interface uses.
 struct ApiContext {
   entry::EntryState &State_;
   Writer &Writer_;
@@ -22,16 +22,16 @@
   entry::MembershipService &Membership_;
   entry::PlacementService &Placements_;
   entry::RequestRunner &Runner_;
-  /// State that only the app knows, for the dump.
+  /// Adds the state that only the app can access to the state dump.
   std::function<void(boost::json::object &)> AddToDump_;
 };
 
-/// Answers with a JSON document.
+/// Sends a response with a JSON body.
 void replyJson(framework::http::Exchange &Call, int Status,
                const boost::json::value &Body);
 
-/// Answers an operator with a problem document. Unlike a caller's refusal it
-/// is no placement decision and is not listed as one.
+/// Sends a problem document. Unlike RequestRunner::refuse(), this does not add
+/// a placement decision to the decision log.
 void replyProblem(framework::http::Exchange &Call, entry::ProblemCode Code,
                   const std::string &Detail);
 
--- a/src/api/internal/callerapi.cpp
+++ b/src/api/internal/callerapi.cpp
@@ -38,14 +38,16 @@
   return {Code, std::move(Detail), fleet::Outcome::NotRun, {}};
 }
 
-/// Reads the deadline; empty when the field is malformed.
+/// Reads Request-Deadline, limited to the longest task lease. Returns nullopt
+/// if the field is malformed.
 std::optional<entry::TimePoint> readDeadline(const Headers &Fields,
                                              entry::TimePoint Now) {
   const auto Text = Fields.find("Request-Deadline");
   if (!Text)
     return Now + DefaultDeadline;
   const auto Millis = parseNumber(*Text);
-  // Far beyond any clock, and small enough not to overflow in microseconds.
+  // Later than any real time, and does not overflow when converted to
+  // microseconds.
   constexpr std::int64_t MaxMillis = 1LL << 50;
   if (!Millis || *Millis > MaxMillis)
     return std::nullopt;
@@ -81,7 +83,8 @@
   return std::nullopt;
 }
 
-/// Reads the header fields that say how the work is to be run.
+/// Reads the header fields that control how the request is run. Returns the
+/// problem if one of them is invalid.
 std::optional<Problem> readFields(const Headers &Fields, entry::TimePoint Now,
                                   entry::WorkRequest &Into) {
   const std::string_view Repeatable = Fields.find("Repeatable").value_or("?1");
@@ -159,7 +162,7 @@
     return std::nullopt;
   }
   const auto &Tables = Context_.State_.Config_.tables();
-  // The look-up is by hash, so its time tells nothing of the secret.
+  // The lookup is by hash, so its timing reveals nothing about the secret.
   const auto Known = Tables.KeyBySecret_.find(
       framework::digest::sha256Hex(Field->substr(BearerPrefix.size())));
   const fleet::Key *Key = Known == Tables.KeyBySecret_.end()
@@ -180,13 +183,13 @@
   if (State.Leaving_)
     return Context_.Runner_.refuse(
         Call,
-        {ProblemCode::Leaving, "this entry is being stopped; ask another",
+        {ProblemCode::Leaving, "this entry is shutting down; use another one",
          fleet::Outcome::NotRun, std::chrono::seconds(1)},
         Pool);
   if (!State.Started_)
     return Context_.Runner_.refuse(
         Call,
-        {ProblemCode::Starting, "this entry is starting; ask another",
+        {ProblemCode::Starting, "this entry is starting; use another one",
          fleet::Outcome::NotRun, std::chrono::seconds(1)},
         Pool);
   if (State.fenced())
--- a/src/api/internal/httpapi.cpp
+++ b/src/api/internal/httpapi.cpp
@@ -49,8 +49,9 @@
   return Rows;
 }
 
-/// All teams, and the endpoints whose slots are not wholly idle: a row for each
-/// of 11,000 endpoints would be most of the dump, and of its memory.
+/// Returns all teams, and the endpoints with slots in use. Rows for idle
+/// endpoints, of which there are up to 11,000, would dominate the dump and its
+/// memory.
 json::array dumpSubjects(const limits::UnitLedger &Ledger) {
   json::array Rows;
   for (std::uint32_t I = 0; I < Ledger.subjectCount(); ++I) {
@@ -78,7 +79,7 @@
   return Rows;
 }
 
-/// Endpoints that work, or cannot.
+/// Returns the endpoints that run requests, are closed or are unhealthy.
 json::array dumpEndpoints(const routing::EndpointTable &Table) {
   json::array Rows;
   for (const fleet::PoolName &Pool : Table.pools())
@@ -151,7 +152,7 @@
   if (!Parts.empty() && Parts[0] == "v1" && Operators_.handle(Call, Path))
     return;
   if (!handleDiagnostics(Call, Path))
-    replyProblem(Call, ProblemCode::NotFound, "nothing is served here");
+    replyProblem(Call, ProblemCode::NotFound, "no such path");
 }
 
 bool HttpApi::handleDiagnostics(Exchange &Call, const Target &Path) {
--- a/src/api/internal/operatorapi.cpp
+++ b/src/api/internal/operatorapi.cpp
@@ -73,7 +73,6 @@
 
 } // namespace
 
-/// Writes JSON lines until the caller goes.
 class OperatorApi::JsonLineStream {
 public:
   JsonLineStream(OperatorApi &Owner, Exchange &Call)
@@ -94,13 +93,13 @@
     Call_.endReply();
   }
 
-  /// False when the caller has gone.
+  /// Writes one line. Returns false if the caller has disconnected.
   bool line(const json::object &Value) {
     return Call_.write(json::serialize(Value) + "\n").ok();
   }
 
-  /// Waits for a change or the next bookmark. False when the caller has gone
-  /// or the entry stops.
+  /// Waits for a change or the time of the next bookmark. Returns false if the
+  /// caller has disconnected or the entry is stopping.
   bool wait() {
     auto Next = std::make_shared<framework::fibers::Waiter>();
     *Wake_ = Next;
@@ -143,7 +142,7 @@
   for (const entry::OperatorKey &Key : Context_.State_.Settings_.OperatorKeys_)
     Known |= framework::digest::equalInConstantTime(Hash, Key.Sha256_);
   if (!Known)
-    replyProblem(Call, ProblemCode::UnknownKey, "not an operator's key");
+    replyProblem(Call, ProblemCode::UnknownKey, "unknown operator key");
   return Known;
 }
 
@@ -175,7 +174,7 @@
       remove<T>(Call, Name, Path);
     else
       replyProblem(Call, ProblemCode::MethodNotAllowed,
-                   Method + " is not served here");
+                   Method + " is not supported on this path");
   });
   return true;
 }
@@ -224,7 +223,8 @@
   replyJson(Call, 200, Body);
 }
 
-/// How far a VM's drain has come, whoever asked for it.
+/// Adds the progress of a VM's drain, whether requested by an operator or by a
+/// wave.
 void OperatorApi::addDrain(json::object &Body, const fleet::Vm &Object) const {
   const auto Drain =
       Context_.Membership_.drainState(fleet::VmName(Object.Metadata_.Name_),
@@ -239,15 +239,15 @@
 
 bool OperatorApi::acceptsWrites(Exchange &Call) {
   entry::EntryState &State = Context_.State_;
-  // An entry that does not reach most of the view could accept a withdrawal
-  // that the others never hear of while they still serve: see
-  // ReachabilityTracker::fenced.
+  // An entry that does not reach a majority of the view could accept a
+  // withdrawal that the other entries never learn of while they still serve
+  // requests; see ReachabilityTracker::fenced().
   if (State.Started_ && State.Contact_.isMajorityReachable(
                             State.View_, State.Self_.Id_, State.now()))
     return true;
   replyProblem(Call, ProblemCode::CutOff,
-               "this entry does not reach most other entries; a change could "
-               "not be in force everywhere");
+               "this entry does not reach most other entries, so a change "
+               "might not take effect everywhere");
   return false;
 }
 
@@ -267,7 +267,7 @@
                                const config::WriteResult<T> &Done,
                                bool DryRun) {
   if (!DryRun && Done.Changed_)
-    // The writer's own entry must not lag behind its answer.
+    // Apply the change here before the response reports it as written.
     Context_.Config_.poll();
   json::object Body = withStatus(Done.Object_, Done.Revision_);
   Body["changed"] = Done.Changed_;
@@ -343,7 +343,7 @@
   if (!State.Changes_.since(Of, *Since))
     return replyProblem(Call, ProblemCode::Gone,
                         "changes since " + std::to_string(Since->value()) +
-                            " are no longer kept; list again");
+                            " are no longer kept; list the objects again");
   JsonLineStream Stream(*this, Call);
   do {
     const auto Changes = State.Changes_.since(Of, *Since);
@@ -376,7 +376,8 @@
   }
   if (Call.head().Method_ != "GET")
     return replyProblem(Call, ProblemCode::MethodNotAllowed,
-                        "entries join and leave by themselves");
+                        "entries join and leave on their own; use GET or "
+                        "DELETE");
   json::array Items;
   for (const auto &Member : State.View_.Members_) {
     const std::string &Name = Member.Id_.Name_.str();
@@ -423,7 +424,7 @@
 void OperatorApi::handleDecisions(Exchange &Call, const Target &Path) {
   if (Call.head().Method_ != "GET")
     return replyProblem(Call, ProblemCode::MethodNotAllowed,
-                        "decisions are read only");
+                        "decisions are read-only");
   const auto &Log = Context_.State_.Decisions_;
   const auto Requested = Path.query("resourceVersion");
   const std::optional<Revision> Since =
--- a/src/api/internal/validation.cpp
+++ b/src/api/internal/validation.cpp
@@ -77,7 +77,7 @@
   if (Other != Tables.KeyBySecret_.end() &&
       Other->second != Object.Metadata_.Name_)
     Errors.push_back(
-        {"spec.sha256", "is the secret of key " + Other->second + " already"});
+        {"spec.sha256", "is used by key " + Other->second + " already"});
   return Errors;
 }
 
--- a/src/api/operatorapi.h
+++ b/src/api/operatorapi.h
@@ -7,20 +7,21 @@
 
 namespace laburnumspread::api {
 
-/// The resource interface: `/v1/{kind}` and `/v1/{kind}/{name}`.
+/// Handles the resource interface: `/v1/{kind}` and `/v1/{kind}/{name}`.
 class OperatorApi {
 public:
   explicit OperatorApi(ApiContext &Context);
 
-  /// Serves a request whose path starts with a kind. False when the path is
-  /// none of this interface.
+  /// Handles the request if its path belongs to this interface; returns false
+  /// otherwise.
   bool handle(framework::http::Exchange &Call,
               const framework::http::Target &Path);
 
-  /// Whether the request holds an operator's key; answers it if not.
+  /// Returns whether the request has a valid operator key; sends an error
+  /// response if not.
   bool authorizeOperator(framework::http::Exchange &Call);
 
-  /// Wakes watchers.
+  /// Wakes all watches, so that they send new changes.
   void notifyWatchers();
 
 private:
@@ -47,10 +48,13 @@
   void handleDecisions(framework::http::Exchange &Call,
                        const framework::http::Target &Path);
   void watchDecisions(framework::http::Exchange &Call, std::uint64_t Since);
+  /// Returns whether this entry may change the configuration; sends an error
+  /// response if not.
   bool acceptsWrites(framework::http::Exchange &Call);
   void replyStatus(framework::http::Exchange &Call, const absl::Status &Why);
 
-  /// A stream of JSON lines that ends with its caller or the process.
+  /// A response of JSON lines that ends when the caller disconnects or the
+  /// entry stops.
   class JsonLineStream;
 
   ApiContext &Context_;
--- a/src/api/validation.h
+++ b/src/api/validation.h
@@ -5,9 +5,9 @@
 
 namespace laburnumspread::api {
 
-/// Faults of an object that only show beside the others: references to what is
-/// not there, waves that overlap or cannot go on. Each names the field and,
-/// where there is one, the smallest change that would do.
+/// Checks an object against the other objects: references to missing objects,
+/// waves that overlap or that a pool's budget blocks. Each error names the
+/// field and, if there is one, the smallest change that fixes it.
 framework::settings::FieldErrors validate(const config::FleetTables &Tables,
                                           const fleet::Pool &Object);
 framework::settings::FieldErrors validate(const config::FleetTables &Tables,
@@ -19,7 +19,7 @@
 framework::settings::FieldErrors validate(const config::FleetTables &Tables,
                                           const fleet::Wave &Object);
 
-/// Why an object cannot be deleted, or empty.
+/// Returns the reason why an object cannot be deleted; empty if it can be.
 std::string deletionConflict(const config::FleetTables &Tables, fleet::Kind Of,
                              const std::string &Name);
 
