--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -5,14 +5,14 @@
 
 namespace laburnumspread::ctl {
 
-/// Runs one command and writes its output. Nothing is sent when the command
-/// line is wrong.
+/// Runs one command and writes its output. Sends nothing if the command line or
+/// the input file is invalid.
 ExitCode runCommand(boost::asio::io_context &Io, const Command &Cmd);
 
-/// A new idempotency key: a UUID of version 7 of this moment.
+/// Returns a new idempotency key: a UUID of version 7 with the current time.
 std::string newIdempotencyKey();
 
-/// Help with examples, for one verb or all.
+/// Returns the text of --help: all verbs, the options and examples.
 std::string helpText();
 
 } // namespace laburnumspread::ctl
--- a/src/ctl/ctltypes.h
+++ b/src/ctl/ctltypes.h
@@ -9,26 +9,26 @@
 
 namespace laburnumspread::ctl {
 
-/// Exit codes of laburnumctl; stable, for scripts.
+/// Exit codes of laburnumctl. Scripts rely on them, so they must not change.
 enum class ExitCode {
   Ok = 0,
-  /// The request was refused or failed at the server.
+  /// The server refused the request or failed to serve it.
   Refused = 1,
-  /// The command line or a file is wrong; nothing was sent.
+  /// The command line or a file is invalid; nothing was sent.
   Usage = 2,
-  /// No server answered.
+  /// No server could be reached; nothing was sent.
   Unreachable = 3,
-  /// Another writer was first; read and try again.
+  /// The object was changed concurrently; read it again and retry.
   Conflict = 4,
-  /// The outcome is not known: it may have run.
+  /// The outcome is unknown: the request may have run.
   Unknown = 5,
-  /// A wait ran out of time.
+  /// Waiting for a state timed out.
   TimedOut = 6
 };
 
 enum class Output { Table, Json };
 
-/// What was given on the command line.
+/// The parsed command line.
 struct Command {
   std::string Verb_;
   std::vector<std::string> Arguments_;
@@ -42,7 +42,7 @@
   bool Peer_ = false;
   std::string IfMatch_;
   std::string Since_;
-  // submit
+  // Options of submit.
   std::string Body_;
   std::string Class_;
   std::string IdempotencyKey_;
@@ -50,7 +50,7 @@
   std::int64_t TimeoutMs_ = 30'000;
 };
 
-/// An answer as the commands work with it.
+/// The parts of an HTTP response that the commands use.
 struct Reply {
   int Status_ = 0;
   std::string Text_;
--- a/src/ctl/internal/commands.cpp
+++ b/src/ctl/internal/commands.cpp
@@ -35,7 +35,8 @@
     std::cout << tableOf(Kind, Value);
 }
 
-/// Objects of a file: one, or a list under "items".
+/// Reads the objects of a file, or of the standard input if \p File is "-". The
+/// document is one object, or a list of objects under "items".
 absl::StatusOr<std::vector<json::value>> readObjects(const std::string &File) {
   std::stringstream Text;
   if (File == "-") {
@@ -63,7 +64,7 @@
   return Objects;
 }
 
-/// Checks an object as far as that goes without a server.
+/// Checks an object without a server. Returns the errors, or an empty string.
 std::string validationErrors(const json::value &Object) {
   const auto Kind = fleet::parseKind(textAt(Object, "kind"));
   if (!Kind)
@@ -89,7 +90,8 @@
   return framework::settings::describe(Errors);
 }
 
-/// Reads and checks the file of -f; says on the standard error what is wrong.
+/// Reads and checks the file given with -f. The error lists all invalid
+/// objects.
 absl::StatusOr<std::vector<json::value>> readValidObjects(const Command &Cmd) {
   auto Objects = readObjects(Cmd.File_);
   if (!Objects.ok())
@@ -123,7 +125,7 @@
     framework::fibers::sleepFor(PollInterval);
   }
   return reportError(ExitCode::TimedOut,
-                     Target + ": not in force everywhere yet");
+                     Target + ": timed out before in force on all entries");
 }
 
 ExitCode apply(Session &Server, const Command &Cmd) {
--- a/src/ctl/internal/progress.cpp
+++ b/src/ctl/internal/progress.cpp
@@ -18,7 +18,7 @@
 
 ExitCode drain(Session &Server, const Command &Cmd) {
   if (Cmd.Arguments_.empty())
-    return reportError(ExitCode::Usage, "drain needs a VM's name");
+    return reportError(ExitCode::Usage, "drain needs the name of a VM");
   const std::string Target = "/v1/vms/" + Cmd.Arguments_[0];
   const auto Now = Server.call("GET", Target, "");
   if (!Now.ok())
@@ -39,7 +39,7 @@
   if (!succeeded(*Put))
     return reportRefusal(*Put);
   if (!On) {
-    std::cout << "vms/" << Cmd.Arguments_[0] << " takes work again\n";
+    std::cout << "vms/" << Cmd.Arguments_[0] << " accepts work again\n";
     return ExitCode::Ok;
   }
   const TimePoint Deadline =
@@ -55,19 +55,19 @@
         return ExitCode::Ok;
       }
       const std::string Line =
-          "draining: " + Busy + " slots busy, entries awaited " + Awaited;
+          "draining: " + Busy + " slots busy, waiting for entries " + Awaited;
       if (Line != LastLine)
         std::cout << Line << std::endl;
       LastLine = Line;
     }
     framework::fibers::sleepFor(PollInterval);
   }
-  return reportError(ExitCode::TimedOut, "not drained yet");
+  return reportError(ExitCode::TimedOut, "timed out before the VM was drained");
 }
 
 ExitCode followWave(Session &Server, const Command &Cmd) {
   if (Cmd.Arguments_.empty())
-    return reportError(ExitCode::Usage, "follow needs a wave's name");
+    return reportError(ExitCode::Usage, "follow needs the name of a wave");
   const TimePoint Deadline =
       SystemClock().now() + std::chrono::milliseconds(Cmd.TimeoutMs_);
   std::string LastLine;
@@ -93,7 +93,7 @@
       return ExitCode::Refused;
     framework::fibers::sleepFor(PollInterval);
   }
-  return reportError(ExitCode::TimedOut, "the wave goes on");
+  return reportError(ExitCode::TimedOut, "timed out; the wave continues");
 }
 
 } // namespace laburnumspread::ctl
--- a/src/ctl/internal/reporting.h
+++ b/src/ctl/internal/reporting.h
@@ -6,14 +6,16 @@
 
 namespace laburnumspread::ctl {
 
-/// Writes a line to the standard error and hands the code on.
+/// Writes a line to the standard error and returns \p Code.
 ExitCode reportError(ExitCode Code, const std::string &Text);
 
-/// Says what a refused call was refused for.
+/// Prints the reason of a refused request and returns the exit code for it.
 ExitCode reportRefusal(const Reply &Answer);
-/// Says that no answer came; Unknown if the call may have been served.
+/// Prints the error of a request without a response. Returns Unreachable if the
+/// request was not sent, or Unknown if it may have been served.
 ExitCode reportUnreachable(const absl::Status &Why);
 
+/// Returns whether the HTTP status is 2xx.
 bool succeeded(const Reply &Answer);
 
 } // namespace laburnumspread::ctl
--- a/src/ctl/internal/session.cpp
+++ b/src/ctl/internal/session.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr auto ConnectTimeout = 3s;
-/// Bookmarks come every 5 s; a stream that is silent for longer is dead.
+/// The server sends bookmarks every 5 s, so a longer silence means that the
+/// connection is broken.
 constexpr auto StreamIdleTimeout = 20s;
 
 Reply toReply(const http::Response &Answer) {
@@ -64,8 +65,8 @@
     if (Answer.ok())
       return toReply(*Answer);
     Last = Answer.status();
-    // Asking the next server is right only while nothing has left: it might
-    // have run already.
+    // Try the next server only if nothing was sent: otherwise the request may
+    // already have run.
     if (Last.message().find("not sent") == absl::string_view::npos)
       break;
   }
--- a/src/ctl/laburnumctl.cpp
+++ b/src/ctl/laburnumctl.cpp
@@ -8,7 +8,7 @@
 #include <boost/asio/io_context.hpp>
 #include <cxxopts.hpp>
 
-// laburnumctl: the operators' and callers' command line.
+// laburnumctl: command-line client for operators and callers.
 
 namespace {
 
@@ -38,7 +38,7 @@
   return Value ? Value : "";
 }
 
-/// Fills the command; returns what is wrong, or an empty text.
+/// Fills \p Cmd. Returns an error message, or an empty string on success.
 std::string readCommand(const cxxopts::ParseResult &Parsed, Command &Cmd) {
   auto Words = Parsed.count("words")
                    ? Parsed["words"].as<std::vector<std::string>>()
--- a/src/ctl/session.h
+++ b/src/ctl/session.h
@@ -11,16 +11,19 @@
 
 namespace laburnumspread::ctl {
 
-/// Speaks to the first of the given entries that answers.
+/// Sends requests to the first of the given servers that can be reached.
 class Session {
 public:
   Session(boost::asio::io_context &Io, const Command &Cmd);
 
+  /// Returns the response, whatever its status. Otherwise returns the last
+  /// error, whose message contains "not sent" if no server got the request.
   absl::StatusOr<Reply> call(const std::string &Method,
                              const std::string &Target, std::string Body,
                              const framework::http::Headers &ExtraHeaders = {});
 
-  /// Hands out the JSON lines of a stream until \p OnLine returns false.
+  /// Calls \p OnLine for each JSON line of a streamed response until it returns
+  /// false. FailedPrecondition if the status is not 200.
   absl::Status
   stream(const std::string &Target,
          const std::function<bool(const boost::json::value &)> &OnLine);
--- a/src/ctl/table.h
+++ b/src/ctl/table.h
@@ -7,13 +7,15 @@
 
 namespace laburnumspread::ctl {
 
-/// Rows of text in aligned columns, the first row being the heading.
+/// Formats rows of text in aligned columns. The first row is the heading.
 std::string alignedTable(const std::vector<std::vector<std::string>> &Rows);
 
-/// The objects of a kind as a table with the columns that matter for it.
+/// Formats the "items" of a list as a table with the columns of their kind.
+/// Returns \p List as JSON if the kind is unknown or there are no items.
 std::string tableOf(const std::string &Kind, const boost::json::value &List);
 
-/// The value at a path as text, "" when there is none: "spec.pool".
+/// Returns the value at a path such as "spec.pool" as text, or "" if there is
+/// none. A path that ends in '#' returns the length of an array.
 std::string textAt(const boost::json::value &Object, std::string_view Path);
 
 } // namespace laburnumspread::ctl
