--- a/src/api/internal/httpapi.cpp
+++ b/src/api/internal/httpapi.cpp
@@ -183,14 +183,15 @@
 
 void HttpApi::replyReadiness(Exchange &Call) {
   const entry::EntryState &State = Context_.State_;
-  std::string_view Why = "ready";
+  std::string_view Reason = "ready";
   if (State.Leaving_)
-    Why = "leaving";
+    Reason = "leaving";
   else if (!State.Started_)
-    Why = "starting";
+    Reason = "starting";
   else if (State.fenced())
-    Why = "fenced";
-  Call.reply(textResponse(Why == "ready" ? 200 : 503, std::string(Why) + "\n"));
+    Reason = "fenced";
+  Call.reply(
+      textResponse(Reason == "ready" ? 200 : 503, std::string(Reason) + "\n"));
 }
 
 void HttpApi::setLogLevel(Exchange &Call, const Target &Path) {
--- a/src/api/internal/operatorapi.cpp
+++ b/src/api/internal/operatorapi.cpp
@@ -94,7 +94,7 @@
   }
 
   /// Writes one line. Returns false if the caller has disconnected.
-  bool line(const json::object &Value) {
+  bool writeLine(const json::object &Value) {
     return Call_.write(json::serialize(Value) + "\n").ok();
   }
 
@@ -185,13 +185,13 @@
   json::object &Status = Result["status"].as_object();
   if (!Status.contains("conditions"))
     Status["conditions"] = json::array();
-  const auto Has = Context_.Membership_.configRollout(InForce);
-  Status["conditions"].as_array().push_back(
-      conditionJson("InForce", Has.Awaited_.empty(),
-                    Has.Awaited_.empty() ? "AllEntries" : "EntriesAwaited",
-                    Has.Awaited_.empty() ? "in force on " + joined(Has.Applied_)
-                                         : "awaiting " + joined(Has.Awaited_),
-                    Object.Metadata_.Generation_.value()));
+  const auto Rollout = Context_.Membership_.configRollout(InForce);
+  Status["conditions"].as_array().push_back(conditionJson(
+      "InForce", Rollout.Awaited_.empty(),
+      Rollout.Awaited_.empty() ? "AllEntries" : "EntriesAwaited",
+      Rollout.Awaited_.empty() ? "in force on " + joined(Rollout.Applied_)
+                               : "awaiting " + joined(Rollout.Awaited_),
+      Object.Metadata_.Generation_.value()));
   return Result;
 }
 
@@ -251,15 +251,15 @@
   return false;
 }
 
-void OperatorApi::replyStatus(Exchange &Call, const absl::Status &Why) {
+void OperatorApi::replyStatus(Exchange &Call, const absl::Status &Error) {
   ProblemCode Code = ProblemCode::StoreUnavailable;
-  if (absl::IsAborted(Why))
+  if (absl::IsAborted(Error))
     Code = ProblemCode::Conflict;
-  if (absl::IsNotFound(Why))
+  if (absl::IsNotFound(Error))
     Code = ProblemCode::NotFound;
-  if (absl::IsInvalidArgument(Why))
+  if (absl::IsInvalidArgument(Error))
     Code = ProblemCode::Invalid;
-  replyProblem(Call, Code, std::string(Why.message()));
+  replyProblem(Call, Code, std::string(Error.message()));
 }
 
 template <typename T>
@@ -350,12 +350,13 @@
     if (!Changes)
       return;
     for (const config::Change &Item : *Changes)
-      if (!Stream.line({{"type", config::nameOf(Item.Type_)},
-                        {"object", json::parse(Item.Object_)}}))
+      if (!Stream.writeLine({{"type", config::nameOf(Item.Type_)},
+                             {"object", json::parse(Item.Object_)}}))
         return;
     Since = std::max(*Since, State.Changes_.through());
-    if (!Stream.line({{"type", "BOOKMARK"},
-                      {"resourceVersion", std::to_string(Since->value())}}))
+    if (!Stream.writeLine(
+            {{"type", "BOOKMARK"},
+             {"resourceVersion", std::to_string(Since->value())}}))
       return;
   } while (Stream.wait());
 }
@@ -385,11 +386,11 @@
       continue;
     const bool Self = Member.Id_ == State.Self_.Id_;
     const auto Row = State.Peers_.find(Member.Id_);
-    const bool Heard =
+    const bool Reachable =
         Self || State.Contact_.isPeerReachable(Member.Id_, State.now());
-    Revision Has = Self ? State.Config_.revision() : Revision(0);
+    Revision AppliedRevision = Self ? State.Config_.revision() : Revision(0);
     if (Row != State.Peers_.end())
-      Has = Row->second.Last_.ConfigRevision_;
+      AppliedRevision = Row->second.Last_.ConfigRevision_;
     Items.push_back(json::object{
         {"kind", "entries"},
         {"metadata", json::object{{"name", Name}}},
@@ -400,8 +401,8 @@
         {"status",
          json::object{{"incarnation", Member.Id_.Incarnation_.value()},
                       {"leaving", Member.Leaving_},
-                      {"inTouch", Heard},
-                      {"configRevision", Has.value()},
+                      {"inTouch", Reachable},
+                      {"configRevision", AppliedRevision.value()},
                       {"view", State.View_.Number_.value()},
                       {"settled", State.View_.settled()}}}});
   }
@@ -453,11 +454,11 @@
   JsonLineStream Stream(*this, Call);
   do {
     for (const entry::Decision &Item : Log.since(Since)) {
-      if (!Stream.line({{"type", "ADDED"}, {"object", toJson(Item)}}))
+      if (!Stream.writeLine({{"type", "ADDED"}, {"object", toJson(Item)}}))
         return;
       Since = Item.Sequence_;
     }
-    if (!Stream.line(
+    if (!Stream.writeLine(
             {{"type", "BOOKMARK"}, {"resourceVersion", std::to_string(Since)}}))
       return;
   } while (Stream.wait());
--- a/src/api/operatorapi.h
+++ b/src/api/operatorapi.h
@@ -51,7 +51,7 @@
   /// Returns whether this entry may change the configuration; sends an error
   /// response if not.
   bool acceptsWrites(framework::http::Exchange &Call);
-  void replyStatus(framework::http::Exchange &Call, const absl::Status &Why);
+  void replyStatus(framework::http::Exchange &Call, const absl::Status &Error);
 
   /// A response of JSON lines that ends when the caller disconnects or the
   /// entry stops.
--- a/src/app/internal/cellapp.cpp
+++ b/src/app/internal/cellapp.cpp
@@ -38,7 +38,7 @@
                               framework::clock::SystemClock().now()))};
 }
 
-journal::Leader makeHolder(const membership::MemberId &Self) {
+journal::Leader makeLeader(const membership::MemberId &Self) {
   journal::Leader Result;
   Result.Entry_ = Self.Name_;
   Result.Incarnation_ = Self.Incarnation_;
@@ -67,7 +67,7 @@
             cell::Candidacy(cell::Candidacy::weightOf(Settings_.Cores_,
                                                       Settings_.LinkMbps_)),
             journal::CellKeys(Settings_.StorePrefix_ + "cell/0/"),
-            makeHolder(Self_), Settings_.Bounds_, Metrics_),
+            makeLeader(Self_), Settings_.Bounds_, Metrics_),
         Router_(
             {[this](const peers::JobCall &Call,
                     const cell::CallRouter::ReplyFn &Reply) {
@@ -212,43 +212,45 @@
 CellApp::~CellApp() = default;
 
 absl::Status CellApp::start() {
-  Impl &P = *Impl_;
-  if (absl::Status Bound = P.Mesh_.bind(
-          P.Settings_.PeerAddress_, P.Settings_.AdvertisedPeerAddress_.value_or(
-                                        P.Settings_.PeerAddress_));
+  Impl &App = *Impl_;
+  if (absl::Status Bound =
+          App.Mesh_.bind(App.Settings_.PeerAddress_,
+                         App.Settings_.AdvertisedPeerAddress_.value_or(
+                             App.Settings_.PeerAddress_));
       !Bound.ok())
     return Bound;
   const std::array<std::pair<framework::http::Server *, cell::Address>, 3>
-      Servers = {{{&P.Callers_, P.Settings_.CallerAddress_},
-                  {&P.Readiness_, P.Settings_.ReadinessAddress_},
-                  {&P.MetricsServer_, P.Settings_.MetricsAddress_}}};
+      Servers = {{{&App.Callers_, App.Settings_.CallerAddress_},
+                  {&App.Readiness_, App.Settings_.ReadinessAddress_},
+                  {&App.MetricsServer_, App.Settings_.MetricsAddress_}}};
   for (const auto &[Server, At] : Servers)
     if (absl::Status Bound = Server->listen(At); !Bound.ok())
       return Bound;
-  P.Cell_.setOfferSender(
-      [&P](const peers::LeadershipOffer &Offer) { P.offerLeadership(Offer); });
-  P.Cell_.start(P.Mesh_.advertised().str());
-  framework::fibers::spawn([&P] { P.Follower_.follow(); });
+  App.Cell_.setOfferSender([&App](const peers::LeadershipOffer &Offer) {
+    App.offerLeadership(Offer);
+  });
+  App.Cell_.start(App.Mesh_.advertised().str());
+  framework::fibers::spawn([&App] { App.Follower_.follow(); });
   return absl::OkStatus();
 }
 
 void CellApp::stop() {
-  Impl &P = *Impl_;
+  Impl &App = *Impl_;
   framework::log::info("entry.leaving")
-      .field("in_flight", static_cast<std::uint64_t>(P.InFlight_));
-  P.Leaving_ = true;
-  P.Cell_.handOver();
-  const TimePoint Noticed = SteadyClock().now() + DeregistrationTime;
-  const TimePoint Last =
-      SteadyClock().now() + P.Settings_.Bounds_.GracePeriod_ - 1500ms;
-  while (SteadyClock().now() < Noticed ||
-         (P.InFlight_ > 0 && SteadyClock().now() < Last))
+      .field("in_flight", static_cast<std::uint64_t>(App.InFlight_));
+  App.Leaving_ = true;
+  App.Cell_.handOver();
+  const TimePoint Deregistered = SteadyClock().now() + DeregistrationTime;
+  const TimePoint Deadline =
+      SteadyClock().now() + App.Settings_.Bounds_.GracePeriod_ - 1500ms;
+  while (SteadyClock().now() < Deregistered ||
+         (App.InFlight_ > 0 && SteadyClock().now() < Deadline))
     sleepFor(PollInterval);
-  P.Callers_.stopAccepting();
-  while (P.InFlight_ > 0 && SteadyClock().now() < Last)
+  App.Callers_.stopAccepting();
+  while (App.InFlight_ > 0 && SteadyClock().now() < Deadline)
     sleepFor(PollInterval);
   framework::log::info("entry.stopped")
-      .field("left_in_flight", static_cast<std::uint64_t>(P.InFlight_));
+      .field("left_in_flight", static_cast<std::uint64_t>(App.InFlight_));
 }
 
 std::uint16_t CellApp::callerPort() const { return Impl_->Callers_.port(); }
@@ -259,27 +261,27 @@
 bool CellApp::leads() const { return Impl_->Cell_.leads(); }
 
 void CellApp::reload(const CellSettings &Settings) {
-  CellSettings &InForce = Impl_->Settings_;
+  CellSettings &Current = Impl_->Settings_;
   framework::log::setLevel(Settings.LogLevel_);
   Impl_->Cell_.setBounds(Settings.Bounds_);
   framework::log::info("settings.reloaded")
-      .field("entry", InForce.Name_.str())
+      .field("entry", Current.Name_.str())
       .field("bounds_changed",
-             InForce.Bounds_ == Settings.Bounds_ ? "no" : "yes")
-      .field("need_restart", cell::settingsNeedingRestart(InForce, Settings));
-  InForce.LogLevel_ = Settings.LogLevel_;
-  InForce.Bounds_ = Settings.Bounds_;
+             Current.Bounds_ == Settings.Bounds_ ? "no" : "yes")
+      .field("need_restart", cell::settingsNeedingRestart(Current, Settings));
+  Current.LogLevel_ = Settings.LogLevel_;
+  Current.Bounds_ = Settings.Bounds_;
 }
 
 std::string CellApp::dump() const {
-  const Impl &P = *Impl_;
+  const Impl &App = *Impl_;
   boost::json::object Into{
-      {"entry", P.Settings_.Name_.str()},
-      {"configVersion", P.Gateway_.config().Version_.value()},
-      {"leads", P.Cell_.leads()},
-      {"holder", P.Cell_.leader().Entry_.str()},
-      {"storeCalls", P.Store_.calls()}};
-  if (const auto &Term = P.Cell_.term()) {
+      {"entry", App.Settings_.Name_.str()},
+      {"configVersion", App.Gateway_.config().Version_.value()},
+      {"leads", App.Cell_.leads()},
+      {"holder", App.Cell_.leader().Entry_.str()},
+      {"storeCalls", App.Store_.calls()}};
+  if (const auto &Term = App.Cell_.term()) {
     Into["token"] = Term->Token_.value();
     Into["jobsOpen"] = Term->Table_.open().size();
     Into["workers"] = Term->Workers_.size();
--- a/src/app/internal/entryapp.cpp
+++ b/src/app/internal/entryapp.cpp
@@ -37,7 +37,7 @@
 /// Applies a configuration change to the endpoints, limits and decision log.
 void applyChange(EntryState &State, const config::Change &Item) {
   const auto &Tables = State.Config_.tables();
-  const bool Gone = Item.Type_ == config::ChangeType::Deleted;
+  const bool Deleted = Item.Type_ == config::ChangeType::Deleted;
   if (Item.Kind_ == fleet::Kind::Teams) {
     const auto *Team = Tables.find<fleet::Team>(Item.Name_);
     State.Ledger_.setLimit(entry::teamSubject(Item.Name_),
@@ -53,9 +53,9 @@
       State.Endpoints_.remove(fleet::VmName(Item.Name_));
   }
   if (Item.Kind_ == fleet::Kind::Keys)
-    State.Decisions_.add(Gone ? entry::DecisionKind::Withdrawal
-                              : entry::DecisionKind::Grant,
-                         Item.Name_, Gone ? "withdrawn" : "granted",
+    State.Decisions_.add(Deleted ? entry::DecisionKind::Withdrawal
+                                 : entry::DecisionKind::Grant,
+                         Item.Name_, Deleted ? "withdrawn" : "granted",
                          "revision " + std::to_string(Item.Revision_.value()));
 }
 
@@ -230,24 +230,25 @@
 EntryApp::~EntryApp() = default;
 
 absl::Status EntryApp::start() {
-  Impl &P = *Impl_;
-  const EntrySettings &Settings = P.State_.Settings_;
+  Impl &App = *Impl_;
+  const EntrySettings &Settings = App.State_.Settings_;
   if (absl::Status Bound =
-          P.Mesh_.bind(Settings.PeerListen_, Settings.PeerListen_);
+          App.Mesh_.bind(Settings.PeerListen_, Settings.PeerListen_);
       !Bound.ok())
     return Bound;
-  if (absl::Status Bound = P.Server_.listen(Settings.HttpListen_); !Bound.ok())
+  if (absl::Status Bound = App.Server_.listen(Settings.HttpListen_);
+      !Bound.ok())
     return Bound;
-  P.State_.Self_.PeerAddress_ = P.Mesh_.advertised().str();
-  P.State_.Self_.HttpAddress_ =
-      Settings.HttpListen_.Ip_ + ":" + std::to_string(P.Server_.port());
-  P.Config_.start();
-  P.Membership_.start();
-  P.Placements_.start();
-  P.Planner_.start();
-  P.Reservations_.start();
-  framework::fibers::spawn([&P] { P.markStartedWhenReady(); });
-  framework::fibers::spawn([&P] { P.trimLoop(); });
+  App.State_.Self_.PeerAddress_ = App.Mesh_.advertised().str();
+  App.State_.Self_.HttpAddress_ =
+      Settings.HttpListen_.Ip_ + ":" + std::to_string(App.Server_.port());
+  App.Config_.start();
+  App.Membership_.start();
+  App.Placements_.start();
+  App.Planner_.start();
+  App.Reservations_.start();
+  framework::fibers::spawn([&App] { App.markStartedWhenReady(); });
+  framework::fibers::spawn([&App] { App.trimLoop(); });
   return absl::OkStatus();
 }
 
@@ -257,20 +258,20 @@
 }
 
 bool EntryApp::stop() {
-  Impl &P = *Impl_;
+  Impl &App = *Impl_;
   framework::log::info("entry.leaving")
-      .field("in_flight", static_cast<std::uint64_t>(P.Runner_.inFlight()));
-  P.State_.Leaving_ = true;
-  P.Api_.notifyWatchers();
-  const auto Deadline = P.State_.now() + DrainTimeout;
-  while (P.Runner_.inFlight() > 0 && P.State_.now() < Deadline)
+      .field("in_flight", static_cast<std::uint64_t>(App.Runner_.inFlight()));
+  App.State_.Leaving_ = true;
+  App.Api_.notifyWatchers();
+  const auto Deadline = App.State_.now() + DrainTimeout;
+  while (App.Runner_.inFlight() > 0 && App.State_.now() < Deadline)
     sleepFor(PollInterval);
-  P.Membership_.leave(P.State_.now() + HandoverTimeout);
-  P.Server_.stopAccepting();
-  const bool Clean = P.Runner_.inFlight() == 0;
+  App.Membership_.leave(App.State_.now() + HandoverTimeout);
+  App.Server_.stopAccepting();
+  const bool Clean = App.Runner_.inFlight() == 0;
   framework::log::info("entry.stopped")
       .field("left_in_flight",
-             static_cast<std::uint64_t>(P.Runner_.inFlight()));
+             static_cast<std::uint64_t>(App.Runner_.inFlight()));
   return Clean;
 }
 
--- a/src/ctl/internal/commands.cpp
+++ b/src/ctl/internal/commands.cpp
@@ -152,12 +152,12 @@
       Worst = reportRefusal(*Answer);
       continue;
     }
-    const bool New = textAt(Answer->Json_, "changed") == "true";
-    Changed += New;
+    const bool IsChanged = textAt(Answer->Json_, "changed") == "true";
+    Changed += IsChanged;
     LastTarget = Target;
     if (Cmd.Output_ == Output::Json)
       std::cout << Answer->Text_ << '\n';
-    else if (New)
+    else if (IsChanged)
       std::cout << Target.substr(4)
                 << (Cmd.DryRun_ ? " would change\n" : " changed\n");
   }
--- a/src/ctl/internal/progress.cpp
+++ b/src/ctl/internal/progress.cpp
@@ -28,8 +28,8 @@
   json::object Object{{"kind", "vms"},
                       {"metadata", Now->Json_.at("metadata")},
                       {"spec", Now->Json_.at("spec")}};
-  const bool On = Cmd.Arguments_.size() < 2 || Cmd.Arguments_[1] != "off";
-  Object["spec"].as_object()["drain"] = On;
+  const bool Enable = Cmd.Arguments_.size() < 2 || Cmd.Arguments_[1] != "off";
+  Object["spec"].as_object()["drain"] = Enable;
   framework::http::Headers ExtraHeaders;
   ExtraHeaders.add("If-Match", textAt(Now->Json_, "metadata.resourceVersion"));
   const auto Put =
@@ -38,7 +38,7 @@
     return reportUnreachable(Put.status());
   if (!succeeded(*Put))
     return reportRefusal(*Put);
-  if (!On) {
+  if (!Enable) {
     std::cout << "vms/" << Cmd.Arguments_[0] << " accepts work again\n";
     return ExitCode::Ok;
   }
--- a/src/ctl/internal/reporting.cpp
+++ b/src/ctl/internal/reporting.cpp
@@ -22,10 +22,10 @@
   return Answer.Status_ == 409 ? ExitCode::Conflict : ExitCode::Refused;
 }
 
-ExitCode reportUnreachable(const absl::Status &Why) {
-  const bool Sent = Why.message().find("not sent") == absl::string_view::npos;
+ExitCode reportUnreachable(const absl::Status &Error) {
+  const bool Sent = Error.message().find("not sent") == absl::string_view::npos;
   return reportError(Sent ? ExitCode::Unknown : ExitCode::Unreachable,
-                     std::string(Why.message()));
+                     std::string(Error.message()));
 }
 
 bool succeeded(const Reply &Answer) {
--- a/src/ctl/internal/reporting.h
+++ b/src/ctl/internal/reporting.h
@@ -13,7 +13,7 @@
 ExitCode reportRefusal(const Reply &Answer);
 /// Prints the error of a request without a response. Returns Unreachable if the
 /// request was not sent, or Unknown if it may have been served.
-ExitCode reportUnreachable(const absl::Status &Why);
+ExitCode reportUnreachable(const absl::Status &Error);
 
 /// Returns whether the HTTP status is 2xx.
 bool succeeded(const Reply &Answer);
--- a/src/ctl/internal/table.cpp
+++ b/src/ctl/internal/table.cpp
@@ -116,8 +116,9 @@
 
 std::string tableOf(const std::string &Kind, const json::value &List) {
   const auto Known = columns().find(Kind);
-  const json::object *Whole = List.if_object();
-  const json::value *Items = Whole ? Whole->if_contains("items") : nullptr;
+  const json::object *Document = List.if_object();
+  const json::value *Items =
+      Document ? Document->if_contains("items") : nullptr;
   if (Known == columns().end() || !Items || !Items->is_array())
     return json::serialize(List) + "\n";
   std::vector<std::vector<std::string>> Rows(1);
