--- a/src/app/laburnumspreadd.cpp
+++ b/src/app/laburnumspreadd.cpp
@@ -189,7 +189,7 @@
                            "Entry server of a laburnumspread fleet");
   Options.add_options()("config", "settings file, JSON with comments",
                         cxxopts::value<std::string>())(
-      "check", "only check the settings")("help", "print this help");
+      "check", "only check the settings")("help", "help");
   try {
     const auto Parsed = Options.parse(ArgumentCount, Arguments);
     if (Parsed.count("help")) {
