--- a/bench/load/loadrun.cpp
+++ b/bench/load/loadrun.cpp
@@ -19,15 +19,15 @@
 
 namespace {
 
-constexpr int TriesElsewhere = 8;
+constexpr int MaxAttempts = 8;
 constexpr double PeakFactor = 5;
 constexpr double TroughFactor = 0.05;
 
 class Caller {
 public:
   Caller(boost::asio::io_context &Io, const LoadPlan &Plan, std::size_t Index,
-         LoadResult &Into)
-      : Plan_(Plan), Into_(Into),
+         LoadResult &Result)
+      : Plan_(Plan), Result_(Result),
         Team_(Plan.Teams_[Index % Plan.Teams_.size()]),
         Random_(Plan.Seed_ * 1'000'003 + Index) {
     for (const http::Address &Server : Plan.Servers_)
@@ -48,29 +48,30 @@
       }
       const std::string Pool = pickPool();
       if (!Pool.empty())
-        sendOne(Pool);
+        sendRequest(Pool);
     }
   }
 
 private:
-  double chance() {
+  double randomFraction() {
     return std::uniform_real_distribution<double>(0, 1)(Random_);
   }
-  Duration jitter(Duration Most) {
-    return Most.count() > 0 ? Duration(Random_() % Most.count()) : Most;
+  Duration jitter(Duration Max) {
+    return Max.count() > 0 ? Duration(Random_() % Max.count()) : Max;
   }
 
   /// With rotation: the pool whose turn it is gets most of the requests, and
   /// out of turn most are left out.
   std::string pickPool() {
     const std::size_t Any = Random_() % Plan_.Pools_.size();
-    if (Plan_.RotateEvery_ == Duration(0))
+    if (Plan_.RotationPeriod_ == Duration(0))
       return Plan_.Pools_[Any];
-    const auto Turn = (SystemClock().now() - Into_.Start_) / Plan_.RotateEvery_;
+    const auto Turn =
+        (SystemClock().now() - Result_.Start_) / Plan_.RotationPeriod_;
     const std::size_t Peak = Turn % Plan_.Pools_.size();
     const double Others =
         TroughFactor * static_cast<double>(Plan_.Pools_.size() - 1);
-    if (chance() < PeakFactor / (PeakFactor + Others))
+    if (randomFraction() < PeakFactor / (PeakFactor + Others))
       return Plan_.Pools_[Peak];
     return Plan_.Pools_[Any];
   }
@@ -80,67 +81,70 @@
     Message.Method_ = "POST";
     Message.Target_ =
         Plan_.Direct_ ? "/requests" : "/v1/pools/" + Item.Pool_ + "/requests";
-    auto &Fields = Message.Headers_;
-    Fields.add("Host", "laburnumspread");
-    Fields.add("Content-Type", "application/json");
+    auto &Headers = Message.Headers_;
+    Headers.add("Host", "laburnumspread");
+    Headers.add("Content-Type", "application/json");
     if (!Plan_.Direct_) {
-      Fields.add("Authorization", "Bearer trial-key-of-" + Item.Team_);
-      Fields.add("Request-Deadline",
-                 std::to_string(framework::clock::toMillis(Item.SentAt_) +
-                                Plan_.TimeoutMs_));
-      Fields.add("Request-Class", Item.Class_);
+      Headers.add("Authorization", "Bearer trial-key-of-" + Item.Team_);
+      Headers.add("Request-Deadline",
+                  std::to_string(framework::clock::toMillis(Item.SentAt_) +
+                                 Plan_.TimeoutMs_));
+      Headers.add("Request-Class", Item.Class_);
     }
     if (!Item.Key_.empty()) {
-      Fields.add("Idempotency-Key", Item.Key_);
-      Fields.add("Repeatable", "?0");
+      Headers.add("Idempotency-Key", Item.Key_);
+      Headers.add("Repeatable", "?0");
     }
     Message.Body_ = "{\"workMs\": " + std::to_string(Plan_.WorkMs_) + "}";
     return Message;
   }
 
-  void sendOne(const std::string &Pool) {
+  void sendRequest(const std::string &Pool) {
     Sample Item;
     Item.Pool_ = Pool;
     Item.Team_ = Team_;
-    const double Class = chance();
-    Item.Class_ = Class < Plan_.Urgent_                  ? "urgent"
-                  : Class < Plan_.Urgent_ + Plan_.Batch_ ? "batch"
-                                                         : "normal";
-    if (chance() < Plan_.Once_)
+    const double Class = randomFraction();
+    Item.Class_ = Class < Plan_.UrgentFraction_ ? "urgent"
+                  : Class < Plan_.UrgentFraction_ + Plan_.BatchFraction_
+                      ? "batch"
+                      : "normal";
+    if (randomFraction() < Plan_.OnceFraction_)
       Item.Key_ = ctl::newIdempotencyKey();
-    const bool Again = !Item.Key_.empty() && chance() < Plan_.Again_;
+    const bool Resend =
+        !Item.Key_.empty() && randomFraction() < Plan_.ResendFraction_;
     exchange(Item);
-    if (Again)
+    if (Resend)
       exchange(Item);
   }
 
   void exchange(Sample Item) {
     Item.SentAt_ = SystemClock().now();
-    for (int Try = 0; Try < TriesElsewhere; ++Try)
-      if (!exchangeOnce(Item))
+    for (int Attempt = 0; Attempt < MaxAttempts; ++Attempt)
+      if (!tryExchange(Item))
         break;
     Item.Took_ = SystemClock().now() - Item.SentAt_;
-    Into_.Samples_.push_back(std::move(Item));
+    Result_.Samples_.push_back(std::move(Item));
   }
 
   /// Returns whether to ask another entry, as the platform's balancer would:
   /// nothing was sent, or the entry is being stopped.
-  bool exchangeOnce(Sample &Item) {
-    http::Client &To = *Clients_[Random_() % Clients_.size()];
-    const auto Answer = To.exchange(
+  bool tryExchange(Sample &Item) {
+    http::Client &Server = *Clients_[Random_() % Clients_.size()];
+    const auto Response = Server.exchange(
         makeRequest(Item),
         Item.SentAt_ + std::chrono::milliseconds(Plan_.TimeoutMs_ + 2000));
     Item.Outcome_ = "no-answer";
-    if (!Answer.ok())
-      return Answer.status().message().find("not sent") !=
+    if (!Response.ok())
+      return Response.status().message().find("not sent") !=
              absl::string_view::npos;
-    Item.Status_ = Answer->Status_;
+    Item.Status_ = Response->Status_;
     Item.Outcome_ = std::string(
-        Answer->Headers_.find("Request-Outcome")
-            .value_or(Plan_.Direct_ && Answer->Status_ == 200 ? "ran" : ""));
+        Response->Headers_.find("Request-Outcome")
+            .value_or(Plan_.Direct_ && Response->Status_ == 200 ? "ran" : ""));
     Item.Replayed_ =
-        Answer->Headers_.find("Idempotent-Replay").value_or("") == "true";
-    Item.Code_ = Item.Outcome_ == "ran" ? std::string() : codeOf(Answer->Body_);
+        Response->Headers_.find("Idempotent-Replay").value_or("") == "true";
+    Item.Code_ =
+        Item.Outcome_ == "ran" ? std::string() : codeOf(Response->Body_);
     return Item.Code_ == "leaving" || Item.Code_ == "starting";
   }
 
@@ -153,7 +157,7 @@
   }
 
   const LoadPlan &Plan_;
-  LoadResult &Into_;
+  LoadResult &Result_;
   /// A caller belongs to one team, so that one that is held up does not hold
   /// up another's work.
   std::string Team_;
@@ -167,13 +171,13 @@
 LoadResult runLoad(boost::asio::io_context &Io, const LoadPlan &Plan) {
   LoadResult Result;
   Result.Start_ = SystemClock().now();
-  const TimePoint End = Result.Start_ + Plan.For_;
-  std::size_t Left = Plan.Callers_;
+  const TimePoint End = Result.Start_ + Plan.RunTime_;
+  std::size_t Active = Plan.Callers_;
   framework::fibers::Waiter Done;
   for (std::size_t I = 0; I < Plan.Callers_; ++I)
     framework::fibers::spawn([&, I] {
       Caller(Io, Plan, I, Result).run(End);
-      if (--Left == 0)
+      if (--Active == 0)
         Done.signal();
     });
   const Duration Slack =
--- a/bench/load/loadtypes.h
+++ b/bench/load/loadtypes.h
@@ -26,20 +26,20 @@
   std::size_t Callers_ = 16;
   /// Requests a second over all callers; 0 for as fast as they are answered.
   double Rate_ = 0;
-  Duration For_ = std::chrono::seconds(5);
+  Duration RunTime_ = std::chrono::seconds(5);
   std::int64_t WorkMs_ = 5;
   std::int64_t TimeoutMs_ = 5000;
   /// Part of the requests that are non-repeatable.
-  double Once_ = 0;
+  double OnceFraction_ = 0;
   /// Part of the non-repeatable requests that are sent again with the same
   /// key, to any server: at once if answered unknown, else after the answer.
-  double Again_ = 0;
+  double ResendFraction_ = 0;
   /// Part of the requests of class urgent, and of class batch.
-  double Urgent_ = 0;
-  double Batch_ = 0;
+  double UrgentFraction_ = 0;
+  double BatchFraction_ = 0;
   /// If set, the pools take turns: each in turn gets five times its mean for
   /// this long and a twentieth in between.
-  Duration RotateEvery_{0};
+  Duration RotationPeriod_{0};
   std::uint64_t Seed_ = 1;
   /// Where the endpoints' own counts are read; empty to check nothing.
   std::string Platform_;
--- a/bench/load/main.cpp
+++ b/bench/load/main.cpp
@@ -20,9 +20,9 @@
 using namespace laburnumspread::bench;
 
 constexpr int BadUsage = 2;
-constexpr int Untrue = 1;
-constexpr std::int64_t LongestRunMs = 600'000;
-constexpr std::size_t MostCallers = 4096;
+constexpr int CheckFailed = 1;
+constexpr std::int64_t MaxRunTimeMs = 600'000;
+constexpr std::size_t MaxCallers = 4096;
 
 cxxopts::Options makeOptions() {
   cxxopts::Options Options("laburnum-load", "Bounded load for loopback");
@@ -51,33 +51,33 @@
   return Options;
 }
 
-LoadPlan readPlan(const cxxopts::ParseResult &Given) {
+LoadPlan readPlan(const cxxopts::ParseResult &Args) {
   LoadPlan Plan;
-  auto Number = [&](const char *Name) { return Given[Name].as<double>(); };
-  for (const auto &Text : Given["servers"].as<std::vector<std::string>>())
+  auto Number = [&](const char *Name) { return Args[Name].as<double>(); };
+  for (const auto &Text : Args["servers"].as<std::vector<std::string>>())
     if (const auto Parsed = framework::http::parseAddress(Text))
       Plan.Servers_.push_back(*Parsed);
-  Plan.Direct_ = Given.count("direct") > 0;
-  Plan.Pools_ = Given["pools"].as<std::vector<std::string>>();
-  Plan.Teams_ = Given["teams"].as<std::vector<std::string>>();
-  for (const auto &Text : Given["shares"].as<std::vector<std::string>>())
+  Plan.Direct_ = Args.count("direct") > 0;
+  Plan.Pools_ = Args["pools"].as<std::vector<std::string>>();
+  Plan.Teams_ = Args["teams"].as<std::vector<std::string>>();
+  for (const auto &Text : Args["shares"].as<std::vector<std::string>>())
     if (!Text.empty())
       Plan.Shares_.push_back(std::stod(Text));
   Plan.Callers_ =
-      std::min(MostCallers, static_cast<std::size_t>(Number("callers")));
+      std::min(MaxCallers, static_cast<std::size_t>(Number("callers")));
   Plan.Rate_ = Number("rate");
-  Plan.For_ = std::chrono::milliseconds(
-      std::min(LongestRunMs, static_cast<std::int64_t>(Number("for-ms"))));
+  Plan.RunTime_ = std::chrono::milliseconds(
+      std::min(MaxRunTimeMs, static_cast<std::int64_t>(Number("for-ms"))));
   Plan.WorkMs_ = static_cast<std::int64_t>(Number("work-ms"));
   Plan.TimeoutMs_ = static_cast<std::int64_t>(Number("timeout-ms"));
-  Plan.Once_ = Number("once");
-  Plan.Again_ = Number("again");
-  Plan.Urgent_ = Number("urgent");
-  Plan.Batch_ = Number("batch");
-  Plan.RotateEvery_ =
+  Plan.OnceFraction_ = Number("once");
+  Plan.ResendFraction_ = Number("again");
+  Plan.UrgentFraction_ = Number("urgent");
+  Plan.BatchFraction_ = Number("batch");
+  Plan.RotationPeriod_ =
       std::chrono::milliseconds(static_cast<std::int64_t>(Number("rotate-ms")));
   Plan.Seed_ = static_cast<std::uint64_t>(Number("seed"));
-  Plan.Platform_ = Given["platform"].as<std::string>();
+  Plan.Platform_ = Args["platform"].as<std::string>();
   return Plan;
 }
 
@@ -88,20 +88,20 @@
   framework::http::Request Message;
   Message.Method_ = "GET";
   Message.Target_ = Path;
-  const auto Answer = Client.exchange(
+  const auto Response = Client.exchange(
       Message, framework::clock::SystemClock().now() + std::chrono::seconds(10),
       256 * 1024 * 1024);
   const auto Document = framework::settings::parseJson(
-      Answer.ok() ? Answer->Body_ : std::string("{}"));
+      Response.ok() ? Response->Body_ : std::string("{}"));
   return Document.ok() && Document->is_object() ? Document->get_object()
                                                 : boost::json::object();
 }
 
-std::map<std::string, std::uint64_t> startedKeys(boost::asio::io_context &Io,
-                                                 const std::string &Platform) {
+std::map<std::string, std::uint64_t>
+fetchStartedKeys(boost::asio::io_context &Io, const std::string &Platform) {
   std::map<std::string, std::uint64_t> Result;
-  const boost::json::object Answer = fetch(Io, Platform, "/platform/keys");
-  if (const auto *Keys = Answer.if_contains("keys"))
+  const boost::json::object Response = fetch(Io, Platform, "/platform/keys");
+  if (const auto *Keys = Response.if_contains("keys"))
     for (const auto &Row : Keys->as_object())
       Result[std::string(Row.key())] = Row.value().to_number<std::uint64_t>();
   return Result;
@@ -121,37 +121,37 @@
   framework::fibers::useAsioScheduler(Io);
   const LoadResult Result = runLoad(Io, Plan);
   boost::json::object Report = summarize(Plan, Result);
-  bool True = true;
+  bool Consistent = true;
   if (!Plan.Platform_.empty()) {
-    boost::json::object Truth =
-        checkTruth(Result, startedKeys(Io, Plan.Platform_));
+    boost::json::object Check =
+        compareWithEndpoints(Result, fetchStartedKeys(Io, Plan.Platform_));
     for (const char *Name : {"ranTwice", "notRunButRan", "ranButNot"})
-      True = True && Truth.at(Name).as_array().empty();
-    Report["truth"] = std::move(Truth);
+      Consistent = Consistent && Check.at(Name).as_array().empty();
+    Report["truth"] = std::move(Check);
     Report["mostByTeam"] =
         fetch(Io, Plan.Platform_, "/platform/ledger")["mostByTeam"];
   }
   std::cout << boost::json::serialize(Report) << std::endl;
-  std::_Exit(True ? 0 : Untrue);
+  std::_Exit(Consistent ? 0 : CheckFailed);
 }
 
 } // namespace
 
-int main(int Count, char **Words) {
+int main(int ArgCount, char **ArgValues) {
   std::signal(SIGPIPE, SIG_IGN);
   try {
     auto Options = makeOptions();
-    const auto Given = Options.parse(Count, Words);
-    if (Given.count("help")) {
+    const auto Args = Options.parse(ArgCount, ArgValues);
+    if (Args.count("help")) {
       std::cout << Options.help() << '\n';
       return 0;
     }
-    const LoadPlan Plan = readPlan(Given);
+    const LoadPlan Plan = readPlan(Args);
     if (Plan.Servers_.empty() || Plan.Pools_.empty() || Plan.Teams_.empty()) {
       std::cerr << "laburnum-load: needs servers, pools and teams\n";
       return BadUsage;
     }
-    if (const auto Rounds = Given["withdrawals"].as<double>(); Rounds > 0)
+    if (const auto Rounds = Args["withdrawals"].as<double>(); Rounds > 0)
       return measureWithdrawals(Plan, static_cast<std::size_t>(Rounds));
     return run(Plan);
   } catch (const cxxopts::exceptions::exception &Error) {
--- a/bench/load/report.cpp
+++ b/bench/load/report.cpp
@@ -16,11 +16,11 @@
   return std::chrono::duration<double>(Time).count();
 }
 
-double percentile(std::vector<double> &Sorted, double P) {
+double percentile(std::vector<double> &Sorted, double Fraction) {
   if (Sorted.empty())
     return 0;
-  const auto At =
-      static_cast<std::size_t>(P * static_cast<double>(Sorted.size() - 1));
+  const auto At = static_cast<std::size_t>(
+      Fraction * static_cast<double>(Sorted.size() - 1));
   return Sorted[At];
 }
 
@@ -33,11 +33,11 @@
           {"maxMs", Millis.empty() ? 0 : Millis.back()}};
 }
 
-template <typename Wanted>
-json::object latenciesOf(const LoadResult &Result, Wanted &&Want) {
+template <typename Predicate>
+json::object latenciesOf(const LoadResult &Result, Predicate &&Matches) {
   std::vector<double> Millis;
   for (const Sample &Item : Result.Samples_)
-    if (Want(Item))
+    if (Matches(Item))
       Millis.push_back(1000 * seconds(Item.Took_));
   return latencies(std::move(Millis));
 }
@@ -58,7 +58,7 @@
   for (double Share : Plan.Shares_)
     SharesSum += Share;
   std::map<std::int64_t, std::map<std::string, double>> Windows;
-  const std::int64_t Last = Plan.For_ / std::chrono::seconds(1) - 1;
+  const std::int64_t Last = Plan.RunTime_ / std::chrono::seconds(1) - 1;
   for (const Sample &Item : Result.Samples_) {
     const auto At =
         (Item.SentAt_ + Item.Took_ - Result.Start_) / std::chrono::seconds(1);
@@ -112,7 +112,7 @@
       {"requests", Result.Samples_.size()},
       {"seconds", seconds(Result.End_ - Result.Start_)},
       {"ranPerSecond",
-       static_cast<double>(Outcomes["ran"]) / seconds(Plan.For_)},
+       static_cast<double>(Outcomes["ran"]) / seconds(Plan.RunTime_)},
       {"outcomes", std::move(OutcomeJson)},
       {"codes", std::move(CodeJson)},
       {"teams", std::move(TeamJson)},
@@ -135,14 +135,15 @@
   return Report;
 }
 
-json::object checkTruth(const LoadResult &Result,
-                        const std::map<std::string, std::uint64_t> &Started) {
-  std::map<std::string, std::set<std::string>> Told;
+json::object
+compareWithEndpoints(const LoadResult &Result,
+                     const std::map<std::string, std::uint64_t> &Started) {
+  std::map<std::string, std::set<std::string>> OutcomesByKey;
   for (const Sample &Item : Result.Samples_)
     if (!Item.Key_.empty())
-      Told[Item.Team_ + "/" + Item.Key_].insert(Item.Outcome_);
+      OutcomesByKey[Item.Team_ + "/" + Item.Key_].insert(Item.Outcome_);
   std::set<std::string> Twice, NotRunButRan, RanButNot;
-  for (const auto &[Key, Outcomes] : Told) {
+  for (const auto &[Key, Outcomes] : OutcomesByKey) {
     const auto Row = Started.find(Key);
     const std::uint64_t Starts = Row == Started.end() ? 0 : Row->second;
     if (Starts > 1)
@@ -152,7 +153,7 @@
     if (Starts == 0 && Outcomes.contains("ran"))
       RanButNot.insert(Key);
   }
-  return {{"keys", Told.size()},
+  return {{"keys", OutcomesByKey.size()},
           {"ranTwice", toArray(Twice)},
           {"notRunButRan", toArray(NotRunButRan)},
           {"ranButNot", toArray(RanButNot)}};
--- a/bench/load/report.h
+++ b/bench/load/report.h
@@ -16,7 +16,7 @@
 ///     and yet started
 ///   ranButNot: keys that were answered as ran and never started
 boost::json::object
-checkTruth(const LoadResult &Result,
-           const std::map<std::string, std::uint64_t> &Started);
+compareWithEndpoints(const LoadResult &Result,
+                     const std::map<std::string, std::uint64_t> &Started);
 
 } // namespace laburnumspread::bench
--- a/bench/load/withdrawals.cpp
+++ b/bench/load/withdrawals.cpp
@@ -16,61 +16,64 @@
 
 namespace {
 
-constexpr auto AskEvery = 2ms;
-constexpr auto GiveUp = 20s;
+constexpr auto PollInterval = 2ms;
+constexpr auto RequestTimeout = 20s;
 constexpr int Unauthorized = 401;
 
-int ask(http::Client &Server, const std::string &Method,
-        const std::string &Target, const std::string &Key,
-        const std::string &Body) {
+int sendRequest(http::Client &Server, const std::string &Method,
+                const std::string &Target, const std::string &Key,
+                const std::string &Body) {
   http::Request Message;
   Message.Method_ = Method;
   Message.Target_ = Target;
   Message.Headers_.add("Host", "laburnumspread");
   Message.Headers_.add("Authorization", "Bearer " + Key);
   Message.Body_ = Body;
-  const auto Answer = Server.exchange(Message, SystemClock().now() + GiveUp);
-  return Answer.ok() ? Answer->Status_ : 0;
+  const auto Response =
+      Server.exchange(Message, SystemClock().now() + RequestTimeout);
+  return Response.ok() ? Response->Status_ : 0;
 }
 
 /// Milliseconds until each server's answer to the key is as wanted.
 std::vector<double>
-untilAll(std::vector<std::unique_ptr<http::Client>> &Clients,
-         const std::string &Secret, bool Served, TimePoint Start) {
-  std::vector<double> Took;
+measurePropagation(std::vector<std::unique_ptr<http::Client>> &Clients,
+                   const std::string &Secret, bool ExpectServed,
+                   TimePoint Start) {
+  std::vector<double> Millis;
   framework::fibers::Waiter Done;
-  std::size_t Left = Clients.size();
+  std::size_t Pending = Clients.size();
   for (auto &Client : Clients)
     framework::fibers::spawn([&, Server = Client.get()] {
-      const TimePoint End = SystemClock().now() + GiveUp;
-      while (SystemClock().now() < End) {
-        const int Status =
-            ask(*Server, "POST", "/v1/pools/orders/requests", Secret, "{}");
-        if ((Status != Unauthorized) == Served)
+      const TimePoint Deadline = SystemClock().now() + RequestTimeout;
+      while (SystemClock().now() < Deadline) {
+        const int Status = sendRequest(
+            *Server, "POST", "/v1/pools/orders/requests", Secret, "{}");
+        if ((Status != Unauthorized) == ExpectServed)
           break;
-        framework::fibers::sleepFor(AskEvery);
+        framework::fibers::sleepFor(PollInterval);
       }
-      Took.push_back(
+      Millis.push_back(
           std::chrono::duration<double, std::milli>(SystemClock().now() - Start)
               .count());
-      if (--Left == 0)
+      if (--Pending == 0)
         Done.signal();
     });
-  Done.waitUntil(SystemClock().now() + 2 * GiveUp);
-  return Took;
+  Done.waitUntil(SystemClock().now() + 2 * RequestTimeout);
+  return Millis;
 }
 
 boost::json::object percentiles(std::vector<double> Millis) {
   std::sort(Millis.begin(), Millis.end());
-  auto At = [&](double P) {
-    return Millis.empty() ? 0.0
-                          : Millis[static_cast<std::size_t>(
-                                P * static_cast<double>(Millis.size() - 1))];
+  auto Percentile = [&](double Fraction) {
+    return Millis.empty()
+               ? 0.0
+               : Millis[static_cast<std::size_t>(
+                     Fraction * static_cast<double>(Millis.size() - 1))];
   };
   return {{"count", Millis.size()},
-          {"p50Ms", At(0.5)},
-          {"p99Ms", At(0.99)},
-          {"maxMs", At(1)}};
+          {"p50Ms", Percentile(0.5)},
+          {"p99Ms", Percentile(0.99)},
+          {"maxMs", Percentile(1)}};
 }
 
 } // namespace
@@ -89,13 +92,14 @@
     const std::string Object =
         R"({"metadata": {"name": "measured"}, "spec": {"team": "riders", "sha256": ")" +
         framework::digest::sha256Hex(Secret) + "\"}}";
-    const TimePoint Put = SystemClock().now();
-    ask(*Clients.front(), "PUT", Target, Operator, Object);
-    for (double Millis : untilAll(Clients, Secret, true, Put))
+    const TimePoint GrantedAt = SystemClock().now();
+    sendRequest(*Clients.front(), "PUT", Target, Operator, Object);
+    for (double Millis : measurePropagation(Clients, Secret, true, GrantedAt))
       Granted.push_back(Millis);
-    const TimePoint Delete = SystemClock().now();
-    ask(*Clients.front(), "DELETE", Target, Operator, "");
-    for (double Millis : untilAll(Clients, Secret, false, Delete))
+    const TimePoint WithdrawnAt = SystemClock().now();
+    sendRequest(*Clients.front(), "DELETE", Target, Operator, "");
+    for (double Millis :
+         measurePropagation(Clients, Secret, false, WithdrawnAt))
       Withdrawn.push_back(Millis);
   }
   return {{"granted", percentiles(std::move(Granted))},
--- a/bench/micro/fixtures.cpp
+++ b/bench/micro/fixtures.cpp
@@ -15,16 +15,16 @@
 
 } // namespace
 
-membership::MemberId memberId(int Index) {
+membership::MemberId makeMemberId(int Index) {
   return {fleet::EntryName(numbered("entry-", Index)), fleet::Incarnation(1)};
 }
 
-membership::View viewOf(int Members) {
+membership::View makeView(int Members) {
   membership::View Result;
   Result.Number_ = Result.SettledThrough_ = membership::ViewNumber(1);
   for (int I = 0; I < Members; ++I) {
     membership::Member Item;
-    Item.Id_ = memberId(I);
+    Item.Id_ = makeMemberId(I);
     Item.Vm_ = fleet::VmName(numbered("entry-vm-", I));
     Item.Zone_ = fleet::ZoneName(numbered("z", I % DesignZones));
     Item.PeerAddress_ = "10.0.0.1:7000";
@@ -33,7 +33,7 @@
   return Result;
 }
 
-config::FleetTables fleetOf(int Vms, int Pools, int Teams) {
+config::FleetTables makeFleet(int Vms, int Pools, int Teams) {
   config::FleetTables Tables;
   for (int I = 0; I < Pools; ++I) {
     fleet::Pool Pool;
@@ -61,16 +61,16 @@
   return Tables;
 }
 
-maintenance::VmList listOf(const config::FleetTables &Tables) {
+maintenance::VmList makeVmList(const config::FleetTables &Tables) {
   maintenance::VmList Result;
   for (const auto &[Name, Vm] : Tables.Vms_)
     Result[Name] = {true, Name + "-boot-1"};
   return Result;
 }
 
-limits::UnitLedger ledgerOf(const config::FleetTables &Tables, int Members) {
-  limits::UnitLedger Ledger(memberId(0));
-  Ledger.adoptView(viewOf(Members), Start);
+limits::UnitLedger makeLedger(const config::FleetTables &Tables, int Members) {
+  limits::UnitLedger Ledger(makeMemberId(0));
+  Ledger.adoptView(makeView(Members), Start);
   for (const auto &[Name, Team] : Tables.Teams_)
     Ledger.setLimit(entry::teamSubject(Name), Team.Spec_.Limit_);
   for (const auto &[Name, Vm] : Tables.Vms_)
--- a/bench/micro/fixtures.h
+++ b/bench/micro/fixtures.h
@@ -19,15 +19,15 @@
 constexpr int DesignPools = 54;
 constexpr int DesignZones = 6;
 
-membership::MemberId memberId(int Index);
-membership::View viewOf(int Members);
+membership::MemberId makeMemberId(int Index);
+membership::View makeView(int Members);
 
 /// \p Vms VMs in \p Pools pools, racks of 40, and \p Teams teams.
-config::FleetTables fleetOf(int Vms, int Pools, int Teams);
-maintenance::VmList listOf(const config::FleetTables &Tables);
+config::FleetTables makeFleet(int Vms, int Pools, int Teams);
+maintenance::VmList makeVmList(const config::FleetTables &Tables);
 
 /// A ledger with the limits of the fleet's teams and slots, at \p Members
 /// members.
-limits::UnitLedger ledgerOf(const config::FleetTables &Tables, int Members);
+limits::UnitLedger makeLedger(const config::FleetTables &Tables, int Members);
 
 } // namespace laburnumspread::bench
--- a/bench/micro/ledgerbench.cpp
+++ b/bench/micro/ledgerbench.cpp
@@ -11,8 +11,8 @@
 
 /// One permit taken and given back, on a ledger of the design's teams.
 void acquireRelease(benchmark::State &State) {
-  const auto Tables = fleetOf(0, 1, static_cast<int>(State.range(0)));
-  limits::UnitLedger Ledger = ledgerOf(Tables, 7);
+  const auto Tables = makeFleet(0, 1, static_cast<int>(State.range(0)));
+  limits::UnitLedger Ledger = makeLedger(Tables, 7);
   const auto Subject = *Ledger.find(entry::teamSubject("team-0"));
   for (auto _ : State) {
     const auto Got =
@@ -27,12 +27,12 @@
 void adoptView(benchmark::State &State) {
   const auto Vms = static_cast<int>(State.range(0));
   const auto Members = static_cast<int>(State.range(1));
-  const auto Tables = fleetOf(Vms, 1, DesignTeams * Vms / DesignVms + 1);
+  const auto Tables = makeFleet(Vms, 1, DesignTeams * Vms / DesignVms + 1);
   for (auto _ : State) {
     State.PauseTiming();
-    limits::UnitLedger Ledger = ledgerOf(Tables, Members);
-    membership::Member Joiner = viewOf(Members + 1).Members_.back();
-    const auto Next = *membership::withJoined(viewOf(Members), Joiner);
+    limits::UnitLedger Ledger = makeLedger(Tables, Members);
+    membership::Member Joiner = makeView(Members + 1).Members_.back();
+    const auto Next = *membership::withJoined(makeView(Members), Joiner);
     State.ResumeTiming();
     Ledger.adoptView(Next, Start);
   }
@@ -47,8 +47,8 @@
 
 /// One key reserved at a home that holds range(0) others.
 void reserveKey(benchmark::State &State) {
-  idempotency::ReplicaTable Homes(memberId(0));
-  const membership::View View = viewOf(1);
+  idempotency::ReplicaTable Homes(makeMemberId(0));
+  const membership::View View = makeView(1);
   Homes.adoptView(View, Start);
   idempotency::ReserveRequest Request;
   Request.MintedAt_ = Start;
@@ -57,7 +57,7 @@
   std::uint64_t Next = 0;
   auto Reserve = [&] {
     Request.Name_ = idempotency::RecordName("team-1/" + std::to_string(++Next));
-    Request.Attempt_ = {memberId(1), Next};
+    Request.Attempt_ = {makeMemberId(1), Next};
     benchmark::DoNotOptimize(Homes.reserve(Request, Start));
   };
   for (std::int64_t I = 0; I < State.range(0); ++I)
--- a/bench/micro/placementbench.cpp
+++ b/bench/micro/placementbench.cpp
@@ -46,8 +46,8 @@
 
 /// An endpoint for one request, among range(0) of one pool.
 void chooseEndpoint(benchmark::State &State) {
-  const auto Tables = fleetOf(static_cast<int>(State.range(0)), 1, 1);
-  limits::UnitLedger Ledger = ledgerOf(Tables, 7);
+  const auto Tables = makeFleet(static_cast<int>(State.range(0)), 1, 1);
+  limits::UnitLedger Ledger = makeLedger(Tables, 7);
   routing::EndpointTable Table;
   for (const auto &[Name, Vm] : Tables.Vms_)
     Table.addOrUpdate(Vm, *Ledger.find(entry::slotsSubject(Name)));
--- a/bench/micro/plannerbench.cpp
+++ b/bench/micro/plannerbench.cpp
@@ -16,11 +16,11 @@
 
 /// One tick of the wave planner with a wave under way over range(0) VMs.
 void waveTick(benchmark::State &State) {
-  auto Tables = fleetOf(static_cast<int>(State.range(0)), DesignPools, 1);
+  auto Tables = makeFleet(static_cast<int>(State.range(0)), DesignPools, 1);
   fleet::Wave Wave;
   Wave.Metadata_.Name_ = "w";
   Tables.Waves_["w"] = Wave;
-  const auto List = listOf(Tables);
+  const auto List = makeVmList(Tables);
   for (auto _ : State)
     benchmark::DoNotOptimize(maintenance::planWaves(
         Tables, {List, [](const std::string &) { return false; },
@@ -32,8 +32,9 @@
 
 /// The same with nothing to do: no wave.
 void idleTick(benchmark::State &State) {
-  const auto Tables = fleetOf(static_cast<int>(State.range(0)), DesignPools, 1);
-  const auto List = listOf(Tables);
+  const auto Tables =
+      makeFleet(static_cast<int>(State.range(0)), DesignPools, 1);
+  const auto List = makeVmList(Tables);
   for (auto _ : State)
     benchmark::DoNotOptimize(maintenance::planWaves(
         Tables, {List, [](const std::string &) { return false; },
@@ -44,8 +45,9 @@
 
 /// One tick of the move planner, half of the pools short.
 void moveTick(benchmark::State &State) {
-  const auto Tables = fleetOf(static_cast<int>(State.range(0)), DesignPools, 1);
-  const auto List = listOf(Tables);
+  const auto Tables =
+      makeFleet(static_cast<int>(State.range(0)), DesignPools, 1);
+  const auto List = makeVmList(Tables);
   pools::MovePlanner Planner({});
   for (auto _ : State)
     benchmark::DoNotOptimize(
@@ -60,7 +62,8 @@
 
 /// One changed value is taken into a configuration of range(0) VMs.
 void applyChange(benchmark::State &State) {
-  const auto Tables = fleetOf(static_cast<int>(State.range(0)), DesignPools, 1);
+  const auto Tables =
+      makeFleet(static_cast<int>(State.range(0)), DesignPools, 1);
   std::map<std::string, boost::json::object> Shards;
   for (const auto &[Name, Vm] : Tables.Vms_)
     Shards[config::shardKey("/l/", fleet::Kind::Vms, Name)][Name] =
@@ -101,9 +104,9 @@
         {fleet::PoolName("pool-" + std::to_string(I % 54)),
          fleet::TeamName("team-" + std::to_string(I)), 3, 1});
   peers::Envelope Envelope;
-  Envelope.From_.Id_ = memberId(0);
+  Envelope.From_.Id_ = makeMemberId(0);
   Envelope.From_.Address_ = "10.0.0.1:7000";
-  Envelope.To_ = memberId(1);
+  Envelope.To_ = makeMemberId(1);
   Envelope.Message_ = Beat;
   std::size_t Bytes = 0;
   for (auto _ : State) {
--- a/bench/micro/recoverybench.cpp
+++ b/bench/micro/recoverybench.cpp
@@ -17,7 +17,7 @@
 /// A page of the store's lists holds about this much.
 constexpr double PageBytes = 1'000'000;
 
-jobs::Event jobOf(int Number) {
+jobs::Event makeJob(int Number) {
   jobs::JobAccepted Item;
   Item.Spec_.Id_ = jobs::JobId("job-" + std::to_string(Number));
   Item.Spec_.Queue_ = jobs::QueueName("queue-" + std::to_string(Number % 54));
@@ -30,7 +30,7 @@
   return Item;
 }
 
-jobs::Event runOf(int Number, std::uint32_t Task) {
+jobs::Event makeRun(int Number, std::uint32_t Task) {
   jobs::RunIntended Item;
   Item.Run_ = {{jobs::JobId("job-" + std::to_string(Number)), 0, 0, Task},
                jobs::RunNumber(1)};
@@ -39,19 +39,19 @@
 }
 
 /// A table of open jobs with all their tasks at work.
-jobs::CellTable tableOf(int Jobs) {
+jobs::CellTable makeTable(int Jobs) {
   jobs::CellTable Table;
   for (int Number = 0; Number < Jobs; ++Number) {
-    Table.apply(jobOf(Number), {});
+    Table.apply(makeJob(Number), {});
     for (std::uint32_t Task = 0; Task < TasksPerJob; ++Task)
-      Table.apply(runOf(Number, Task), {});
+      Table.apply(makeRun(Number, Task), {});
   }
   return Table;
 }
 
 /// A snapshot of range(0) open jobs is read after a takeover.
 void recoverJobs(benchmark::State &State) {
-  const jobs::CellTable Table = tableOf(static_cast<int>(State.range(0)));
+  const jobs::CellTable Table = makeTable(static_cast<int>(State.range(0)));
   const auto Parts = jobs::encodeSnapshot(
       Table, journal::Journal<journal::FakeStore>::SnapshotPartBytes);
   std::size_t Bytes = 0;
@@ -79,9 +79,9 @@
   std::vector<std::string> Entries;
   std::size_t Bytes = 0;
   for (int Number = 0; Number < State.range(0); ++Number) {
-    std::vector<jobs::Event> Group{jobOf(Number)};
+    std::vector<jobs::Event> Group{makeJob(Number)};
     for (std::uint32_t Task = 0; Task < TasksPerJob; ++Task)
-      Group.push_back(runOf(Number, Task));
+      Group.push_back(makeRun(Number, Task));
     Entries.push_back(jobs::encodeGroup(Group, {}));
     Bytes += Entries.back().size();
   }
--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -10,8 +10,8 @@
 int main() {
   using namespace laburnumspread::bench;
   std::cout << boost::json::serialize(
-                   boost::json::object{{"shares", trialShares()},
-                                       {"moves", trialMoves()},
-                                       {"wave", trialWave()}})
+                   boost::json::object{{"shares", simulateShares()},
+                                       {"moves", simulateMoves()},
+                                       {"wave", simulateWave()}})
             << '\n';
 }
--- a/bench/policy/moves.cpp
+++ b/bench/policy/moves.cpp
@@ -12,16 +12,16 @@
 using framework::clock::TimePoint;
 
 constexpr Duration Tick = 100ms;
-constexpr Duration TrialTime = 240s;
+constexpr Duration SimulatedTime = 240s;
 /// Part of the trial that is kept second by second, for plots.
 constexpr Duration SeriesTime = 60s;
-constexpr Duration Turn = 6s;
+constexpr Duration RotationPeriod = 6s;
 constexpr double PeakFactor = 5;
 constexpr double TroughFactor = 0.05;
 constexpr std::uint32_t SlotsPerVm = 8;
 /// Mean slots wanted in each pool; the peak is above what its pool holds.
 constexpr double MeanSlots = 26;
-constexpr int WorkPools = 4;
+constexpr int WorkPoolCount = 4;
 constexpr int VmsPerPool = 10;
 constexpr int SpareVms = 10;
 constexpr TimePoint Start{std::chrono::hours(1)};
@@ -33,13 +33,13 @@
   maintenance::VmList List_;
 
   Fleet() {
-    for (int P = 0; P <= WorkPools; ++P) {
+    for (int P = 0; P <= WorkPoolCount; ++P) {
       fleet::Pool Pool;
       Pool.Metadata_.Name_ = poolName(P);
-      Pool.Spec_.MinimumVms_ = P == WorkPools ? 1 : 4;
-      Pool.Spec_.Spare_ = P == WorkPools;
+      Pool.Spec_.MinimumVms_ = P == WorkPoolCount ? 1 : 4;
+      Pool.Spec_.Spare_ = P == WorkPoolCount;
       Tables_.Pools_[Pool.Metadata_.Name_] = Pool;
-      for (int I = 0; I < (P == WorkPools ? SpareVms : VmsPerPool); ++I)
+      for (int I = 0; I < (P == WorkPoolCount ? SpareVms : VmsPerPool); ++I)
         addVm(poolName(P), I);
     }
   }
@@ -69,8 +69,8 @@
 };
 
 /// Slots that a pool wants at a time.
-double demand(int Pool, TimePoint Now) {
-  const auto Peak = ((Now - Start) / Turn) % WorkPools;
+double demandAt(int Pool, TimePoint Now) {
+  const auto Peak = ((Now - Start) / RotationPeriod) % WorkPoolCount;
   return MeanSlots * (Pool == Peak ? PeakFactor : TroughFactor);
 }
 
@@ -80,11 +80,11 @@
   double Served = 0, Wanted = 0, Buffer = 0;
   std::uint64_t Moves = 0;
   boost::json::array Series;
-  for (TimePoint Now = Start; Now < Start + TrialTime; Now += Tick) {
+  for (TimePoint Now = Start; Now < Start + SimulatedTime; Now += Tick) {
     std::map<PoolName, pools::Demand> Work;
-    for (int P = 0; P < WorkPools; ++P) {
+    for (int P = 0; P < WorkPoolCount; ++P) {
       const double Slots = Vms.slots(poolName(P));
-      const double Need = demand(P, Now);
+      const double Need = demandAt(P, Now);
       Served += std::min(Need, Slots);
       Wanted += Need;
       Work[PoolName(poolName(P))] = {
@@ -94,12 +94,12 @@
     if ((Now - Start) % 1s == 0s && Now < Start + SeriesTime) {
       boost::json::array Row{
           std::chrono::duration<double>(Now - Start).count()};
-      for (int P = 0; P <= WorkPools; ++P)
+      for (int P = 0; P <= WorkPoolCount; ++P)
         Row.emplace_back(Vms.slots(poolName(P)));
-      Row.emplace_back(demand(0, Now));
+      Row.emplace_back(demandAt(0, Now));
       Series.push_back(std::move(Row));
     }
-    Buffer += Vms.slots(poolName(WorkPools)) *
+    Buffer += Vms.slots(poolName(WorkPoolCount)) *
               std::chrono::duration<double>(Tick).count();
     for (const pools::Move &Step : Plan(
              pools::MoveInputs{Vms.Tables_, Vms.List_,
@@ -121,7 +121,7 @@
   std::map<std::string, int> Slots;
   for (const auto &[Name, Vm] : Seen.Tables_.Vms_)
     Slots[fleet::currentPool(Vm).str()] += SlotsPerVm;
-  const PoolName Spare(poolName(WorkPools));
+  const PoolName Spare(poolName(WorkPoolCount));
   for (const auto &[Name, Vm] : Seen.Tables_.Vms_) {
     const PoolName &Now = fleet::currentPool(Vm);
     const auto Work = Seen.Demand_(Now);
@@ -133,7 +133,7 @@
     }
     if (Now != Spare)
       continue;
-    for (int P = 0; P < WorkPools; ++P) {
+    for (int P = 0; P < WorkPoolCount; ++P) {
       const PoolName To(poolName(P));
       const auto Need = Seen.Demand_(To);
       if (static_cast<int>(Need.Running_ + Need.Waiting_) <= Slots[To.str()])
@@ -148,24 +148,25 @@
 
 } // namespace
 
-boost::json::object trialMoves() {
-  pools::MovePlanner Lunch({2, 1, 1});
-  pools::MovePlanner Print({1, 2, 2});
-  pools::MovePlanner Single({2, 1, 1});
-  return {
-      {"static", run([](const pools::MoveInputs &) {
-         return std::vector<pools::Move>();
-       })},
-      {"reactive", run(reactive)},
-      {"oneAtATime", run([&](const pools::MoveInputs &Seen) {
-         auto Moves = Single.plan(Seen);
-         Moves.resize(std::min<std::size_t>(Moves.size(), 1));
-         return Moves;
-       })},
-      {"ours",
-       run([&](const pools::MoveInputs &Seen) { return Lunch.plan(Seen); })},
-      {"oursFolhaComum",
-       run([&](const pools::MoveInputs &Seen) { return Print.plan(Seen); })}};
+boost::json::object simulateMoves() {
+  pools::MovePlanner ClosenessWeighted({2, 1, 1});
+  pools::MovePlanner CostWeighted({1, 2, 2});
+  pools::MovePlanner OneAtATime({2, 1, 1});
+  return {{"static", run([](const pools::MoveInputs &) {
+             return std::vector<pools::Move>();
+           })},
+          {"reactive", run(reactive)},
+          {"oneAtATime", run([&](const pools::MoveInputs &Seen) {
+             auto Moves = OneAtATime.plan(Seen);
+             Moves.resize(std::min<std::size_t>(Moves.size(), 1));
+             return Moves;
+           })},
+          {"ours", run([&](const pools::MoveInputs &Seen) {
+             return ClosenessWeighted.plan(Seen);
+           })},
+          {"oursFolhaComum", run([&](const pools::MoveInputs &Seen) {
+             return CostWeighted.plan(Seen);
+           })}};
 }
 
 } // namespace laburnumspread::bench
--- a/bench/policy/policytypes.h
+++ b/bench/policy/policytypes.h
@@ -12,14 +12,14 @@
 /// A full pool under uneven demand: our order of shares against first come
 /// first served. Distance of the teams' parts from their shares, and the wait
 /// of a small team beside a flood.
-boost::json::object trialShares();
+boost::json::object simulateShares();
 
 /// Demand that rotates between pools: our moves against static pools, moves
 /// without hysteresis, and moves one VM at a time.
-boost::json::object trialMoves();
+boost::json::object simulateMoves();
 
 /// One wave over a fleet: our batches against one VM at a time and against the
 /// lower bound VMs x (drain + reboot) / budget.
-boost::json::object trialWave();
+boost::json::object simulateWave();
 
 } // namespace laburnumspread::bench
--- a/bench/policy/shares.cpp
+++ b/bench/policy/shares.cpp
@@ -19,11 +19,11 @@
 
 constexpr std::uint32_t PoolSlots = 96;
 constexpr Duration RunTime = 50ms;
-constexpr Duration TrialTime = 60s;
+constexpr Duration SimulatedTime = 60s;
 constexpr TimePoint Start{std::chrono::hours(1)};
 const fleet::PoolName Pool("orders");
 
-struct TeamPlan {
+struct TeamWorkload {
   TeamName Name_;
   std::uint32_t Share_;
   /// Requests a second.
@@ -32,8 +32,8 @@
 
 /// Slots serve 1,920 requests a second; the teams ask for 2.3 times that, one
 /// of them for most of it, and one for less than its share.
-const std::vector<TeamPlan> &plans() {
-  static const std::vector<TeamPlan> All = {
+const std::vector<TeamWorkload> &workloads() {
+  static const std::vector<TeamWorkload> All = {
       {TeamName("flood"), 1, 2400}, {TeamName("large"), 4, 1000},
       {TeamName("middle"), 2, 500}, {TeamName("other"), 2, 400},
       {TeamName("small"), 1, 60},   {TeamName("tiny"), 1, 40}};
@@ -45,13 +45,13 @@
   std::size_t Team_;
 };
 
-std::vector<Arrival> arrivals() {
+std::vector<Arrival> generateArrivals() {
   std::vector<Arrival> All;
   std::mt19937_64 Random(7);
-  for (std::size_t T = 0; T < plans().size(); ++T) {
-    std::exponential_distribution<double> Gap(plans()[T].Rate_);
+  for (std::size_t T = 0; T < workloads().size(); ++T) {
+    std::exponential_distribution<double> Gap(workloads()[T].Rate_);
     double Seconds = Gap(Random);
-    while (Seconds < std::chrono::duration<double>(TrialTime).count()) {
+    while (Seconds < std::chrono::duration<double>(SimulatedTime).count()) {
       All.push_back(
           {Start + Duration(static_cast<std::int64_t>(Seconds * 1e6)), T});
       Seconds += Gap(Random);
@@ -64,34 +64,35 @@
 
 /// Counts what was served and how long it waited.
 struct Outcome {
-  std::vector<std::map<std::int64_t, double>> ServedBySecond_{plans().size()};
+  std::vector<std::map<std::int64_t, double>> ServedBySecond_{
+      workloads().size()};
   std::vector<double> SmallWaits_;
 
-  void served(std::size_t Team, TimePoint Arrived, TimePoint Now) {
+  void recordServed(std::size_t Team, TimePoint ArrivedAt, TimePoint Now) {
     ++ServedBySecond_[Team][(Now - Start) / 1s];
-    if (plans()[Team].Name_ == TeamName("small"))
+    if (workloads()[Team].Name_ == TeamName("small"))
       SmallWaits_.push_back(
-          std::chrono::duration<double>(Now - Arrived).count());
+          std::chrono::duration<double>(Now - ArrivedAt).count());
   }
 
   /// What each team should get: its demand, or its share of what is left.
-  static std::vector<double> fairParts() {
-    std::vector<double> Fair(plans().size(), 0);
-    std::vector<bool> Capped(plans().size(), false);
+  static std::vector<double> fairRates() {
+    std::vector<double> Fair(workloads().size(), 0);
+    std::vector<bool> Capped(workloads().size(), false);
     const double Total =
         PoolSlots / std::chrono::duration<double>(RunTime).count();
-    for (std::size_t Round = 0; Round < plans().size(); ++Round) {
+    for (std::size_t Round = 0; Round < workloads().size(); ++Round) {
       double Left = Total, Weight = 0;
-      for (std::size_t T = 0; T < plans().size(); ++T) {
+      for (std::size_t T = 0; T < workloads().size(); ++T) {
         if (Capped[T])
-          Left -= plans()[T].Rate_;
+          Left -= workloads()[T].Rate_;
         else
-          Weight += plans()[T].Share_;
+          Weight += workloads()[T].Share_;
       }
-      for (std::size_t T = 0; T < plans().size(); ++T) {
-        Fair[T] =
-            Capped[T] ? plans()[T].Rate_ : Left * plans()[T].Share_ / Weight;
-        if (Fair[T] > plans()[T].Rate_)
+      for (std::size_t T = 0; T < workloads().size(); ++T) {
+        Fair[T] = Capped[T] ? workloads()[T].Rate_
+                            : Left * workloads()[T].Share_ / Weight;
+        if (Fair[T] > workloads()[T].Rate_)
           Capped[T] = true;
       }
     }
@@ -99,13 +100,13 @@
   }
 
   boost::json::object report() {
-    const auto Fair = fairParts();
+    const auto Fair = fairRates();
     const double Total =
         PoolSlots / std::chrono::duration<double>(RunTime).count();
     double Sum = 0, Worst = 0;
     std::size_t Count = 0;
-    for (std::int64_t Second = 2; Second < TrialTime / 1s; ++Second)
-      for (std::size_t T = 0; T < plans().size(); ++T) {
+    for (std::int64_t Second = 2; Second < SimulatedTime / 1s; ++Second)
+      for (std::size_t T = 0; T < workloads().size(); ++T) {
         const double Distance =
             100 * std::abs(ServedBySecond_[T][Second] - Fair[T]) / Total;
         Sum += Distance;
@@ -126,7 +127,7 @@
 
 /// Serves by one policy: \p Next gives the next arrival to serve, or none.
 template <typename Policy> boost::json::object serve(Policy &&Chosen) {
-  const auto All = arrivals();
+  const auto All = generateArrivals();
   Outcome Result;
   std::priority_queue<std::pair<TimePoint, std::size_t>,
                       std::vector<std::pair<TimePoint, std::size_t>>,
@@ -146,7 +147,7 @@
       const std::optional<Arrival> Item = Chosen.next(Now);
       if (!Item)
         break;
-      Result.served(Item->Team_, Item->At_, Now);
+      Result.recordServed(Item->Team_, Item->At_, Now);
       Ends.push({Now + RunTime, Item->Team_});
     }
   }
@@ -156,7 +157,7 @@
 /// Bounded like ours, so that both drop what cannot be served.
 constexpr std::size_t QueueLimit = 2000;
 
-struct FirstCome {
+struct FirstComeFirstServed {
   std::deque<Arrival> Queue_;
   void arrived(const Arrival &Item) {
     if (Queue_.size() < QueueLimit)
@@ -172,7 +173,7 @@
   }
 };
 
-struct ByShare {
+struct ShareScheduling {
   sharing::FleetUsage Usage_;
   // The limit holds for each team's queue here: one shared queue would be
   // filled by the flood before the others could enter.
@@ -181,13 +182,13 @@
   std::uint64_t Id_ = 0;
 
   static std::size_t teamIndex(const TeamName &Name) {
-    for (std::size_t T = 0; T < plans().size(); ++T)
-      if (plans()[T].Name_ == Name)
+    for (std::size_t T = 0; T < workloads().size(); ++T)
+      if (workloads()[T].Name_ == Name)
         return T;
     return 0;
   }
   void arrived(const Arrival &Item) {
-    const TeamName &Team = plans()[Item.Team_].Name_;
+    const TeamName &Team = workloads()[Item.Team_].Name_;
     if (Queue_.waiting(Team) >= QueueLimit)
       return;
     const sharing::TicketId Id(++Id_);
@@ -199,13 +200,15 @@
     Usage_.addWaiting(Pool, Team, 1);
   }
   void ended(std::size_t Team) {
-    Usage_.addRunning(Pool, plans()[Team].Name_, -1);
+    Usage_.addRunning(Pool, workloads()[Team].Name_, -1);
   }
   std::optional<Arrival> next(TimePoint Now) {
-    const auto Chosen = Queue_.selectNext(
-        {Usage_, Pool, PoolSlots,
-         [](const TeamName &Name) { return plans()[teamIndex(Name)].Share_; },
-         [](const TeamName &) { return true; }, Now});
+    const auto Chosen =
+        Queue_.selectNext({Usage_, Pool, PoolSlots,
+                           [](const TeamName &Name) {
+                             return workloads()[teamIndex(Name)].Share_;
+                           },
+                           [](const TeamName &) { return true; }, Now});
     const auto *Ticket = std::get_if<sharing::Ticket>(&Chosen);
     if (!Ticket)
       return std::nullopt;
@@ -221,8 +224,9 @@
 
 } // namespace
 
-boost::json::object trialShares() {
-  return {{"ours", serve(ByShare())}, {"firstCome", serve(FirstCome())}};
+boost::json::object simulateShares() {
+  return {{"ours", serve(ShareScheduling())},
+          {"firstCome", serve(FirstComeFirstServed())}};
 }
 
 } // namespace laburnumspread::bench
--- a/bench/policy/wave.cpp
+++ b/bench/policy/wave.cpp
@@ -20,7 +20,7 @@
 constexpr int Pools = 5;
 constexpr std::uint32_t BudgetPercent = 20;
 constexpr TimePoint Start{std::chrono::hours(1)};
-constexpr Duration LongestTrial = std::chrono::hours(3);
+constexpr Duration MaxSimulatedTime = std::chrono::hours(3);
 
 /// Plays the platform to the planner's steps; returns seconds and the most VMs
 /// that were down at once.
@@ -45,12 +45,12 @@
   Wave.Metadata_.Name_ = "w";
   Wave.Spec_.MaximumBatch_ = MaximumBatch;
   Tables.Waves_["w"] = Wave;
-  std::map<std::string, TimePoint> BootsAt;
-  std::uint32_t MostDown = 0;
+  std::map<std::string, TimePoint> RebootEnds;
+  std::uint32_t MaxDown = 0;
   boost::json::array Series;
   TimePoint Now = Start;
-  for (; Now < Start + LongestTrial; Now += Tick) {
-    for (auto &[Name, At] : BootsAt)
+  for (; Now < Start + MaxSimulatedTime; Now += Tick) {
+    for (auto &[Name, At] : RebootEnds)
       if (At <= Now)
         List[Name].BootId_ = "boot-2";
     auto SinceOf = [&](const std::string &Name) {
@@ -68,14 +68,14 @@
     for (const auto &Step : Steps.Vms_) {
       Tables.Vms_.at(Step.Vm_).Status_ = Step.To_;
       if (Step.Kind_ == maintenance::ActionKind::Reboot)
-        BootsAt.try_emplace(Step.Vm_, Now + BootTime);
+        RebootEnds.try_emplace(Step.Vm_, Now + BootTime);
     }
     for (const auto &Step : Steps.Waves_)
       Tables.Waves_.at(Step.Wave_).Status_ = Step.To_;
     std::uint32_t Down = 0;
     for (const auto &[Name, Vm] : Tables.Vms_)
       Down += !maintenance::isAvailable(Vm, List);
-    MostDown = std::max(MostDown, Down);
+    MaxDown = std::max(MaxDown, Down);
     if ((Now - Start) % 5s == 0s)
       Series.push_back(
           boost::json::array{std::chrono::duration<double>(Now - Start).count(),
@@ -84,17 +84,17 @@
       break;
   }
   return {{"seconds", std::chrono::duration<double>(Now - Start).count()},
-          {"mostDown", MostDown},
+          {"mostDown", MaxDown},
           {"series", std::move(Series)}};
 }
 
 } // namespace
 
-boost::json::object trialWave() {
-  const double AtOnce = Vms * BudgetPercent / 100.0;
+boost::json::object simulateWave() {
+  const double Concurrent = Vms * BudgetPercent / 100.0;
   const double Bound =
       Vms * std::chrono::duration<double>(DrainTime + BootTime).count() /
-      AtOnce;
+      Concurrent;
   return {{"ours", runWave(1000)},
           {"oneAtATime", runWave(1)},
           {"lowerBoundSeconds", Bound}};
--- a/soak/callers.cpp
+++ b/soak/callers.cpp
@@ -20,174 +20,180 @@
 
 constexpr int NotSent = 0;
 constexpr int NoAnswer = -1;
-constexpr auto Patience = 3000ms;
+constexpr auto RequestTimeout = 3000ms;
 /// After so many refusals at the most, and nothing but refusals, a caller gives
 /// up.
-constexpr std::uint64_t MostAttempts = 6;
-constexpr std::uint64_t MostTasks = 4;
+constexpr std::uint64_t MaxRefusals = 6;
+constexpr std::uint64_t MaxTasksPerStep = 4;
 /// Standing jobs at once, so that the workers have room for all.
-constexpr int MostStanding = 12;
+constexpr int MaxStandingJobs = 12;
 
-bool refusal(int Status) {
+bool isRefusal(int Status) {
   return Status == 429 || Status == 503 || Status == NotSent;
 }
 
 } // namespace
 
-Callers::CallerPtr Callers::make(std::uint64_t Seed) const {
+Callers::CallerPtr Callers::makeCaller(std::uint64_t Seed) const {
   const auto Result = std::make_shared<Caller>(Seed);
-  for (std::size_t I = 0; I < Served_.count(); ++I)
-    Result->Clients_.push_back(
-        std::make_unique<framework::http::Client>(Io_, Served_.callers(I)));
+  for (std::size_t I = 0; I < Entries_.count(); ++I)
+    Result->Clients_.push_back(std::make_unique<framework::http::Client>(
+        Io_, Entries_.callerAddress(I)));
   return Result;
 }
 
 void Callers::start(std::size_t Count, std::uint64_t Seed) {
-  Random Draws(Seed);
+  Random Generator(Seed);
   for (std::size_t I = 0; I < Count; ++I)
-    framework::fibers::spawn([this, Self = make(Draws.split())] { run(Self); });
+    framework::fibers::spawn(
+        [this, Self = makeCaller(Generator.split())] { submitLoop(Self); });
 }
 
-void Callers::run(const CallerPtr &Self) {
-  while (!Finishing_) {
-    JobRecord &Job = describe(*Self);
+void Callers::submitLoop(const CallerPtr &Self) {
+  while (!Stopping_) {
+    JobRecord &Job = createJob(*Self);
     framework::fibers::spawn([this, Self, &Job] {
       submit(*Self, Job);
-      follow(*Self, Job);
+      pollUntilDone(*Self, Job);
     });
-    sleepFor(Self->Draws_.between(100ms, 700ms));
+    sleepFor(Self->Random_.between(100ms, 700ms));
   }
 }
 
-JobRecord &Callers::describe(Caller &Self) {
+JobRecord &Callers::createJob(Caller &Self) {
   char Id[17];
   std::snprintf(Id, sizeof(Id), "%016llx",
                 static_cast<unsigned long long>(NextJob_++));
   JobRecord Job;
   Job.Id_ = jobs::JobId(Id);
-  const auto Standing = std::ranges::count_if(Book_, [](const JobRecord &Each) {
-    return Each.Standing_ && !Each.CancelHeard_ && !Each.Refused_;
+  const auto Standing = std::ranges::count_if(Jobs_, [](const JobRecord &Each) {
+    return Each.Standing_ && !Each.CancelAcknowledged_ && !Each.Refused_;
   });
-  Job.Standing_ = Standing < MostStanding && Self.Draws_.onceIn(4);
-  const bool TwoSteps = !Job.Standing_ && Self.Draws_.onceIn(3);
+  Job.Standing_ = Standing < MaxStandingJobs && Self.Random_.oneIn(4);
+  const bool TwoSteps = !Job.Standing_ && Self.Random_.oneIn(3);
   for (int Step = 0; Step < (TwoSteps ? 2 : 1); ++Step)
     Job.Tasks_.push_back(
-        static_cast<std::uint32_t>(1 + Self.Draws_.below(MostTasks)));
-  Book_.push_back(Job);
-  return Book_.back();
+        static_cast<std::uint32_t>(1 + Self.Random_.below(MaxTasksPerStep)));
+  Jobs_.push_back(Job);
+  return Jobs_.back();
 }
 
 int Callers::call(Caller &Self, const std::string &Method,
                   const std::string &Id, const std::string &Body,
-                  std::string &Answer) {
-  const std::size_t Entry = Self.Draws_.below(Served_.count());
-  const auto Heard =
-      Self.Clients_[Entry]->exchange(makeJobRequest(Method, Id, Body),
-                                     framework::clock::wallDeadline(Patience));
-  const bool Sent = Heard.ok() || Heard.status().message().find("not sent") ==
-                                      absl::string_view::npos;
-  const int Status = Heard.ok() ? Heard->Status_ : Sent ? NoAnswer : NotSent;
+                  std::string &ResponseBody) {
+  const std::size_t Entry = Self.Random_.below(Entries_.count());
+  const auto Response = Self.Clients_[Entry]->exchange(
+      makeJobRequest(Method, Id, Body),
+      framework::clock::wallDeadline(RequestTimeout));
+  const bool Sent = Response.ok() || Response.status().message().find(
+                                         "not sent") == absl::string_view::npos;
+  const int Status = Response.ok() ? Response->Status_
+                     : Sent        ? NoAnswer
+                                   : NotSent;
   if (Method != "GET")
     framework::log::info("soak.called")
         .field("method", Method)
         .field("job", Id)
         .field("entry", static_cast<std::uint64_t>(Entry))
         .field("status", Status);
-  if (Heard.ok())
-    Answer = Heard->Body_;
+  if (Response.ok())
+    ResponseBody = Response->Body_;
   return Status;
 }
 
 void Callers::submit(Caller &Self, JobRecord &Job) {
-  const std::string Body =
-      makeJobBody(Job.Tasks_, Job.Standing_, Self.Draws_.between(20ms, 1500ms));
-  std::string Answer;
-  const std::uint64_t Attempts = 1 + Self.Draws_.below(MostAttempts);
+  const std::string Body = makeJobBody(Job.Tasks_, Job.Standing_,
+                                       Self.Random_.between(20ms, 1500ms));
+  std::string ResponseBody;
+  const std::uint64_t RefusalLimit = 1 + Self.Random_.below(MaxRefusals);
   bool OnlyRefused = true;
-  for (std::uint64_t Try = 1; !Job.Accepted_; ++Try) {
-    const int Status = call(Self, "POST", Job.Id_.str(), Body, Answer);
+  for (std::uint64_t Attempt = 1; !Job.Accepted_; ++Attempt) {
+    const int Status = call(Self, "POST", Job.Id_.str(), Body, ResponseBody);
     Job.Accepted_ = Status == 200;
     if (Status >= 400 && Status < 500 && Status != 429)
-      Found_.find("submit of a good job answered " + std::to_string(Status));
-    OnlyRefused = OnlyRefused && refusal(Status);
-    if (OnlyRefused && Try == Attempts) {
+      FindingLog_.report("submit of a good job answered " +
+                         std::to_string(Status));
+    OnlyRefused = OnlyRefused && isRefusal(Status);
+    if (OnlyRefused && Attempt == RefusalLimit) {
       Job.Refused_ = true;
       return;
     }
-    sleepFor(Self.Draws_.between(20ms, 400ms));
+    sleepFor(Self.Random_.between(20ms, 400ms));
   }
 }
 
-void Callers::follow(Caller &Self, JobRecord &Job) {
-  const bool Cancels = Self.Draws_.onceIn(Job.Standing_ ? 2 : 5);
+void Callers::pollUntilDone(Caller &Self, JobRecord &Job) {
+  const bool WillCancel = Self.Random_.oneIn(Job.Standing_ ? 2 : 5);
   const auto CancelAt =
-      framework::clock::SteadyClock().now() + Self.Draws_.between(0ms, 5000ms);
-  while (!Job.Refused_ && !Job.CancelHeard_ && !Job.DoneHeard_) {
+      framework::clock::SteadyClock().now() + Self.Random_.between(0ms, 5000ms);
+  while (!Job.Refused_ && !Job.CancelAcknowledged_ && !Job.DoneObserved_) {
     const bool Due = framework::clock::SteadyClock().now() >= CancelAt;
-    if (Job.CancelAsked_ || (Cancels && Due))
+    if (Job.CancelRequested_ || (WillCancel && Due))
       cancel(Self, Job);
     else
-      read(Self, Job);
-    sleepFor(Self.Draws_.between(50ms, Job.CancelAsked_ ? 200ms : 600ms));
+      readState(Self, Job);
+    sleepFor(Self.Random_.between(50ms, Job.CancelRequested_ ? 200ms : 600ms));
   }
 }
 
-void Callers::expectKnown(const JobRecord &Job, int Status,
-                          const std::string &Call) {
+void Callers::reportClientError(const JobRecord &Job, int Status,
+                                const std::string &Call) {
   if (Status >= 400 && Status < 500 && Status != 429)
-    Found_.find(Call + " of an accepted job answered " +
-                std::to_string(Status) + ": " + Job.Id_.str());
+    FindingLog_.report(Call + " of an accepted job answered " +
+                       std::to_string(Status) + ": " + Job.Id_.str());
 }
 
-void Callers::read(Caller &Self, JobRecord &Job) {
-  std::string Answer;
-  const int Status = call(Self, "GET", Job.Id_.str(), "", Answer);
-  expectKnown(Job, Status, "read");
+void Callers::readState(Caller &Self, JobRecord &Job) {
+  std::string ResponseBody;
+  const int Status = call(Self, "GET", Job.Id_.str(), "", ResponseBody);
+  reportClientError(Job, Status, "read");
   if (Status != 200)
     return;
-  const std::string State = parseJobState(Answer);
-  Job.DoneHeard_ = State == "done";
+  const std::string State = parseJobState(ResponseBody);
+  Job.DoneObserved_ = State == "done";
   if (State == "failed" || State == "cancelled")
-    Found_.find("job that nobody cancelled is " + State + ": " + Job.Id_.str());
-  if (Job.DoneHeard_ && Job.Standing_)
-    Found_.find("standing job is done: " + Job.Id_.str());
+    FindingLog_.report("job that nobody cancelled is " + State + ": " +
+                       Job.Id_.str());
+  if (Job.DoneObserved_ && Job.Standing_)
+    FindingLog_.report("standing job is done: " + Job.Id_.str());
 }
 
 void Callers::cancel(Caller &Self, JobRecord &Job) {
-  std::string Answer;
-  Job.CancelAsked_ = true;
-  const int Status = call(Self, "DELETE", Job.Id_.str(), "", Answer);
-  expectKnown(Job, Status, "cancel");
-  Job.CancelHeard_ = Status == 200;
-  Cancels_ += Job.CancelHeard_;
+  std::string ResponseBody;
+  Job.CancelRequested_ = true;
+  const int Status = call(Self, "DELETE", Job.Id_.str(), "", ResponseBody);
+  reportClientError(Job, Status, "cancel");
+  Job.CancelAcknowledged_ = Status == 200;
+  AcknowledgedCancels_ += Job.CancelAcknowledged_;
 }
 
-bool Callers::served() {
-  const CallerPtr Self = make(0);
+bool Callers::allEntriesServe() {
+  const CallerPtr Self = makeCaller(0);
   for (const auto &Client : Self->Clients_) {
-    const auto Heard = Client->exchange(
-        makeJobRequest("GET", ""), framework::clock::wallDeadline(Patience));
-    if (!Heard.ok() || Heard->Status_ != 200)
+    const auto Response =
+        Client->exchange(makeJobRequest("GET", ""),
+                         framework::clock::wallDeadline(RequestTimeout));
+    if (!Response.ok() || Response->Status_ != 200)
       return false;
   }
   return true;
 }
 
-std::vector<std::string> Callers::readAll() {
-  const CallerPtr Self = make(0);
+std::vector<std::string> Callers::checkFinalStates() {
+  const CallerPtr Self = makeCaller(0);
   std::vector<std::string> Result;
-  for (const JobRecord &Job : Book_) {
+  for (const JobRecord &Job : Jobs_) {
     if (!Job.Accepted_)
       continue;
-    std::string Answer;
-    const int Status = call(*Self, "GET", Job.Id_.str(), "", Answer);
-    expectKnown(Job, Status, "read at the end");
-    const std::string State = Status == 200 ? parseJobState(Answer) : "";
-    const bool Right = Job.CancelHeard_
-                           ? State == "cancelled" || State == "done"
-                       : Job.Standing_ ? State == "running"
-                                       : State == "done";
-    if (!Right)
+    std::string ResponseBody;
+    const int Status = call(*Self, "GET", Job.Id_.str(), "", ResponseBody);
+    reportClientError(Job, Status, "read at the end");
+    const std::string State = Status == 200 ? parseJobState(ResponseBody) : "";
+    const bool Expected = Job.CancelAcknowledged_
+                              ? State == "cancelled" || State == "done"
+                          : Job.Standing_ ? State == "running"
+                                          : State == "done";
+    if (!Expected)
       Result.push_back("at the end job " + Job.Id_.str() + " is answered " +
                        std::to_string(Status) + " " + State);
   }
--- a/soak/entries.h
+++ b/soak/entryprocesses.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "framework/http/httptypes.h"
-#include "soak/judge.h"
+#include "soak/invariants.h"
 
 #include <csignal>
 #include <map>
@@ -15,22 +15,22 @@
 ///   entry-N.json  settings, written here
 ///   entry-N.pid   id of the process, there while it lives
 ///   entry-N.ends  a line for each process that has ended: id and exit code
-class Entries {
+class EntryProcesses {
 public:
-  Entries(std::string Folder, std::size_t Count);
+  EntryProcesses(std::string Folder, std::size_t Count);
 
   /// Finds free ports for the callers and the peers of each entry. Not from the
   /// run's seed: two runs of one seed at a time would choose the same ports.
   absl::Status choosePorts();
-  /// \p Doors: the port by which each entry reaches the platform; \p PeerWires:
-  /// that by which its peers reach it.
-  absl::Status writeAll(const std::vector<std::uint16_t> &Doors,
-                        const std::vector<std::uint16_t> &PeerWires);
+  /// \p PlatformPorts: the port by which each entry reaches the platform; \p
+  /// PeerProxyPorts: that by which its peers reach it.
+  absl::Status writeSettings(const std::vector<std::uint16_t> &PlatformPorts,
+                             const std::vector<std::uint16_t> &PeerProxyPorts);
   /// Writes an entry's file with other values of what it takes up at run time.
-  absl::Status change(std::size_t Index, std::uint64_t Draw);
+  absl::Status changeSettings(std::size_t Index, std::uint64_t Choice);
 
   std::size_t count() const { return Count_; }
-  framework::http::Address callers(std::size_t Index) const {
+  framework::http::Address callerAddress(std::size_t Index) const {
     return {"127.0.0.1", Ports_[Index]};
   }
   /// Where an entry itself listens for its peers.
@@ -38,30 +38,31 @@
     return Ports_[Count_ + Index];
   }
   /// 0 while no process lives.
-  pid_t process(std::size_t Index) const;
+  pid_t processId(std::size_t Index) const;
   /// Sends \p Number to \p Process if it is still this entry's.
   bool signal(std::size_t Index, pid_t Process, int Number);
 
   /// Processes that ended without being told to, or otherwise than told.
-  std::vector<std::string> wrongEnds() const;
+  std::vector<std::string> unexpectedExits() const;
   /// Processes that were told to end and have not.
-  std::vector<std::string> missingEnds() const;
+  std::vector<std::string> missingExits() const;
 
 private:
-  std::string file(std::size_t Index, const std::string &Suffix) const;
-  std::map<pid_t, int> ends(std::size_t Index) const;
-  absl::Status write(std::size_t Index, bool Debug, double MoveSeconds) const;
+  std::string filePath(std::size_t Index, const std::string &Suffix) const;
+  std::map<pid_t, int> exits(std::size_t Index) const;
+  absl::Status writeEntry(std::size_t Index, bool Debug,
+                          double MoveSeconds) const;
 
   std::string Folder_;
   std::size_t Count_;
   /// For the callers of each entry, then for the peers of each.
   std::vector<std::uint16_t> Ports_;
-  std::vector<std::uint16_t> Doors_;
-  std::vector<std::uint16_t> PeerWires_;
+  std::vector<std::uint16_t> PlatformPorts_;
+  std::vector<std::uint16_t> PeerProxyPorts_;
   std::string PublicKey_;
   std::string SecretKey_;
   /// Signals to end that each process was sent.
-  std::vector<std::map<pid_t, std::set<int>>> Told_;
+  std::vector<std::map<pid_t, std::set<int>>> SentSignals_;
 };
 
 } // namespace laburnumspread::soak
--- /dev/null
+++ b/soak/faultinjector.cpp
@@ -0,0 +1,315 @@
+#include "soak/faultinjector.h"
+
+#include "framework/clock/steadyclock.h"
+#include "framework/fibers/spawn.h"
+#include "framework/fibers/waiter.h"
+#include "framework/log/log.h"
+#include "platform/standin/testrequests.h"
+
+namespace laburnumspread::soak {
+
+using framework::fibers::sleepFor;
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr auto MinFaultTime = 100ms;
+constexpr auto MaxFaultTime = 4000ms;
+constexpr auto MaxPause = 1200ms;
+/// One fault in so many brings others at once.
+constexpr std::uint64_t BurstOdds = 6;
+constexpr int BurstSize = 3;
+constexpr auto PollInterval = 20ms;
+
+void noRevert() {}
+
+} // namespace
+
+const std::vector<FaultInjector::Kind> FaultInjector::Kinds = {
+    {"kill", &FaultInjector::kill},
+    {"kill-all", &FaultInjector::killAll},
+    {"stop", &FaultInjector::stop},
+    {"freeze", &FaultInjector::freeze},
+    {"change-settings", &FaultInjector::changeSettings},
+    {"shut-door", &FaultInjector::blockStoreAccess},
+    {"shut-all-doors", &FaultInjector::refuseStoreCalls},
+    {"slow-door", &FaultInjector::delayRequests},
+    {"reset-door", &FaultInjector::resetRequests},
+    {"mute-door", &FaultInjector::dropResponses},
+    {"cut-platform", &FaultInjector::cutPlatform},
+    {"cut-peers", &FaultInjector::cutPeers},
+    {"cut-off", &FaultInjector::cutOff},
+    {"reset-wires", &FaultInjector::resetConnections},
+    {"silence-wires", &FaultInjector::stallConnections},
+    {"lose-answers", &FaultInjector::loseAnswers},
+    {"late-answers", &FaultInjector::lateAnswers},
+    {"pause-leases", &FaultInjector::pauseLeases},
+    {"hide-workers", &FaultInjector::hideWorkers},
+    {"crash-worker", &FaultInjector::crashWorker},
+    {"lose-stops", &FaultInjector::loseStops},
+    {"lose-start-answers", &FaultInjector::loseStartAnswers},
+    {"late-starts", &FaultInjector::lateStarts},
+    {"wave", &FaultInjector::wave},
+};
+
+FaultInjector::FaultInjector(CellPlatform &Platform, EntryProcesses &Entries,
+                             std::vector<std::uint16_t> PlatformPorts,
+                             ProxySet &Proxies, std::size_t MachineCount,
+                             std::uint64_t Seed)
+    : Platform_(Platform), Entries_(Entries), Proxies_(Proxies),
+      PlatformPorts_(std::move(PlatformPorts)), MachineCount_(MachineCount),
+      Random_(Seed) {}
+
+void FaultInjector::injectFor(milliseconds Time) {
+  const auto Until = framework::clock::SteadyClock().now() + Time;
+  while (framework::clock::SteadyClock().now() < Until) {
+    const int Simultaneous = Random_.oneIn(BurstOdds) ? BurstSize : 1;
+    for (int I = 0; I < Simultaneous; ++I)
+      injectOne();
+    sleepFor(Random_.between(0ms, MaxPause));
+  }
+  while (Active_ > 0)
+    sleepFor(PollInterval);
+}
+
+void FaultInjector::injectOne() {
+  const Kind &Drawn = Kinds[Random_.below(Kinds.size())];
+  const auto Length = Random_.between(MinFaultTime, MaxFaultTime);
+  framework::log::info("soak.fault")
+      .field("kind", Drawn.Name_)
+      .field("lasts_ms", static_cast<std::int64_t>(Length.count()));
+  const Revert RevertFault = (this->*Drawn.Inject_)();
+  ++Count_;
+  ++Active_;
+  framework::fibers::spawn([this, RevertFault, Length, Name = Drawn.Name_] {
+    sleepFor(Length);
+    RevertFault();
+    --Active_;
+    framework::log::info("soak.fault_ended").field("kind", Name);
+  });
+}
+
+FaultInjector::Revert
+FaultInjector::applyShared(const std::string &What,
+                           const std::function<void(bool)> &Set) {
+  if (++ActiveByName_[What] == 1)
+    Set(true);
+  return [this, What, Set] {
+    if (--ActiveByName_[What] == 0)
+      Set(false);
+  };
+}
+
+FaultInjector::Revert FaultInjector::onPlatformPort(
+    const std::string &What,
+    const std::function<void(std::uint16_t, bool)> &Set) {
+  const std::size_t Entry = randomEntry();
+  framework::log::info("soak.door")
+      .field("entry", static_cast<std::uint64_t>(Entry));
+  return applyShared(
+      What + std::to_string(Entry),
+      [Set, Port = PlatformPorts_[Entry]](bool On) { Set(Port, On); });
+}
+
+FaultInjector::Revert FaultInjector::kill() {
+  const std::size_t Entry = randomEntry();
+  Entries_.signal(Entry, Entries_.processId(Entry), SIGKILL);
+  return noRevert;
+}
+
+FaultInjector::Revert FaultInjector::killAll() {
+  for (std::size_t I = 0; I < Entries_.count(); ++I)
+    Entries_.signal(I, Entries_.processId(I), SIGKILL);
+  return noRevert;
+}
+
+FaultInjector::Revert FaultInjector::stop() {
+  const std::size_t Entry = randomEntry();
+  Entries_.signal(Entry, Entries_.processId(Entry), SIGTERM);
+  return noRevert;
+}
+
+FaultInjector::Revert FaultInjector::freeze() {
+  const std::size_t Entry = randomEntry();
+  const pid_t Process = Entries_.processId(Entry);
+  return applyShared("freeze" + std::to_string(Process),
+                     [this, Entry, Process](bool On) {
+                       Entries_.signal(Entry, Process, On ? SIGSTOP : SIGCONT);
+                     });
+}
+
+FaultInjector::Revert FaultInjector::changeSettings() {
+  const std::size_t Entry = randomEntry();
+  if (absl::Status Written = Entries_.changeSettings(Entry, Random_.split());
+      !Written.ok())
+    framework::log::error("soak.settings_not_written")
+        .field("reason", std::string(Written.message()));
+  if (Random_.oneIn(2))
+    Entries_.signal(Entry, Entries_.processId(Entry), SIGHUP);
+  return noRevert;
+}
+
+FaultInjector::Revert FaultInjector::blockStoreAccess() {
+  return onPlatformPort("shut", [this](std::uint16_t Port, bool On) {
+    On ? Platform_.blockStoreAccess(Port) : Platform_.unblockStoreAccess(Port);
+  });
+}
+
+FaultInjector::Revert FaultInjector::refuseStoreCalls() {
+  return applyShared("shut-all", [this](bool On) {
+    Platform_.faults().RefuseStoreCalls_ = On;
+  });
+}
+
+FaultInjector::Revert FaultInjector::delayRequests() {
+  const auto Delay = Random_.between(20ms, 800ms);
+  return onPlatformPort("slow", [this, Delay](std::uint16_t Port, bool On) {
+    Platform_.portFaults(Port).Delay_ = On ? Delay : 0ms;
+  });
+}
+
+FaultInjector::Revert FaultInjector::resetRequests() {
+  return onPlatformPort("reset", [this](std::uint16_t Port, bool On) {
+    Platform_.portFaults(Port).Reset_ = On;
+  });
+}
+
+FaultInjector::Revert FaultInjector::dropResponses() {
+  return onPlatformPort("mute", [this](std::uint16_t Port, bool On) {
+    Platform_.portFaults(Port).DropResponses_ = On;
+  });
+}
+
+FaultInjector::Revert FaultInjector::cutUpstream(const std::string &What,
+                                                 FaultProxy &Proxy) {
+  return applyShared(What + "-forth",
+                     [&Proxy](bool On) { Proxy.setUpstreamBlocked(On); });
+}
+
+FaultInjector::Revert FaultInjector::cutDownstream(const std::string &What,
+                                                   FaultProxy &Proxy) {
+  return applyShared(What + "-back",
+                     [&Proxy](bool On) { Proxy.setDownstreamBlocked(On); });
+}
+
+FaultInjector::Revert FaultInjector::cut(const std::string &What,
+                                         std::deque<FaultProxy> &Proxies) {
+  enum Direction : std::uint64_t { Upstream, Downstream, Both, DirectionCount };
+  const std::size_t Entry = randomEntry();
+  const auto Drawn = static_cast<Direction>(Random_.below(DirectionCount));
+  framework::log::info("soak.cut")
+      .field("what", What)
+      .field("entry", static_cast<std::uint64_t>(Entry))
+      .field("shape", static_cast<std::uint64_t>(Drawn));
+  const std::string Name = What + std::to_string(Entry);
+  const Revert RevertUpstream =
+      Drawn == Downstream ? noRevert : cutUpstream(Name, Proxies[Entry]);
+  const Revert RevertDownstream =
+      Drawn == Upstream ? noRevert : cutDownstream(Name, Proxies[Entry]);
+  return [RevertUpstream, RevertDownstream] {
+    RevertUpstream();
+    RevertDownstream();
+  };
+}
+
+FaultInjector::Revert FaultInjector::cutOff() {
+  const std::size_t Entry = randomEntry();
+  framework::log::info("soak.cut_off")
+      .field("entry", static_cast<std::uint64_t>(Entry));
+  std::vector<Revert> Reverts;
+  for (const auto &[What, Proxies] :
+       {std::pair("platform", &Proxies_.ToPlatform_),
+        std::pair("peers", &Proxies_.FromPeers_)}) {
+    const std::string Name = What + std::to_string(Entry);
+    Reverts.push_back(cutUpstream(Name, (*Proxies)[Entry]));
+    Reverts.push_back(cutDownstream(Name, (*Proxies)[Entry]));
+  }
+  return [Reverts] {
+    for (const Revert &Each : Reverts)
+      Each();
+  };
+}
+
+FaultProxy &FaultInjector::randomProxy() {
+  auto &Proxies = Random_.oneIn(2) ? Proxies_.ToPlatform_ : Proxies_.FromPeers_;
+  return Proxies[randomEntry()];
+}
+
+FaultInjector::Revert FaultInjector::resetConnections() {
+  randomProxy().resetConnections();
+  return noRevert;
+}
+
+FaultInjector::Revert FaultInjector::stallConnections() {
+  randomProxy().stallConnections();
+  return noRevert;
+}
+
+FaultInjector::Revert FaultInjector::loseAnswers() {
+  const auto Number = static_cast<std::uint32_t>(1 + Random_.below(5));
+  return applyShared("lose-answers", [this, Number](bool On) {
+    Platform_.faults().DropWriteResponses_ = On ? Number : 0;
+  });
+}
+
+FaultInjector::Revert FaultInjector::lateAnswers() {
+  const auto Delay = Random_.between(20ms, 1000ms);
+  return applyShared("late-answers", [this, Delay](bool On) {
+    Platform_.faults().WriteResponseDelay_ = On ? Delay : 0ms;
+  });
+}
+
+FaultInjector::Revert FaultInjector::pauseLeases() {
+  return applyShared("pause-leases", [this](bool On) {
+    Platform_.faults().LeaseExpiryPaused_ = On;
+  });
+}
+
+FaultInjector::Revert FaultInjector::hideWorkers() {
+  return applyShared("hide-workers", [this](bool On) {
+    Platform_.faults().RefuseWorkerList_ = On;
+  });
+}
+
+FaultInjector::Revert FaultInjector::crashWorker() {
+  const std::string Machine =
+      "m" + std::to_string(Random_.below(MachineCount_));
+  const bool Up =
+      Platform_.crashMachine(Machine, Random_.between(50ms, 2000ms));
+  framework::log::info("soak.worker_crashed")
+      .field("machine", Machine)
+      .field("was_up", Up ? "yes" : "no");
+  return noRevert;
+}
+
+FaultInjector::Revert FaultInjector::loseStops() {
+  return applyShared("lose-stops", [this](bool On) {
+    Platform_.workerFaults().DropStops_ = On;
+  });
+}
+
+FaultInjector::Revert FaultInjector::loseStartAnswers() {
+  const auto Number = static_cast<std::uint32_t>(1 + Random_.below(5));
+  return applyShared("lose-start-answers", [this, Number](bool On) {
+    Platform_.workerFaults().DropStartResponses_ = On ? Number : 0;
+  });
+}
+
+FaultInjector::Revert FaultInjector::lateStarts() {
+  const auto Delay = Random_.between(20ms, 3000ms);
+  return applyShared("late-starts", [this, Delay](bool On) {
+    Platform_.workerFaults().StartDelay_ = On ? Delay : 0ms;
+  });
+}
+
+FaultInjector::Revert FaultInjector::wave() {
+  std::vector<std::string> Machines;
+  for (std::size_t I = 0; I < MachineCount_; ++I)
+    if (Random_.oneIn(2))
+      Machines.push_back("m" + std::to_string(I));
+  platform::standin::writeWave(Platform_, jobs::WaveNumber(NextWave_++),
+                               Machines);
+  return noRevert;
+}
+
+} // namespace laburnumspread::soak
--- /dev/null
+++ b/soak/faultinjector.h
@@ -0,0 +1,96 @@
+#pragma once
+
+#include "platform/standin/cellplatform.h"
+#include "soak/entryprocesses.h"
+#include "soak/faultproxy.h"
+#include "soak/random.h"
+
+#include <deque>
+
+namespace laburnumspread::soak {
+
+/// What goes wrong, drawn from a seed: each fault begins, lasts for a while and
+/// ends; several may overlap.
+class FaultInjector {
+public:
+  using CellPlatform = platform::standin::CellPlatform;
+
+  /// The ways of each entry's bytes: to the platform, and from its peers.
+  struct ProxySet {
+    std::deque<FaultProxy> ToPlatform_;
+    std::deque<FaultProxy> FromPeers_;
+  };
+
+  FaultInjector(CellPlatform &Platform, EntryProcesses &Entries,
+                std::vector<std::uint16_t> PlatformPorts, ProxySet &Proxies,
+                std::size_t MachineCount, std::uint64_t Seed);
+
+  /// Begins faults for \p Time and returns when all have ended.
+  void injectFor(milliseconds Time);
+  std::size_t count() const { return Count_; }
+
+private:
+  using Revert = std::function<void()>;
+  struct Kind {
+    std::string_view Name_;
+    Revert (FaultInjector::*Inject_)();
+  };
+  static const std::vector<Kind> Kinds;
+
+  void injectOne();
+  /// Sets something until the last of those who asked for it has ended.
+  Revert applyShared(const std::string &What,
+                     const std::function<void(bool)> &Set);
+  std::size_t randomEntry() { return Random_.below(Entries_.count()); }
+  Revert onPlatformPort(const std::string &What,
+                        const std::function<void(std::uint16_t, bool)> &Set);
+
+  // Entries.
+  Revert kill();
+  Revert killAll();
+  Revert stop();
+  Revert freeze();
+  Revert changeSettings();
+  // The way to the platform.
+  Revert blockStoreAccess();
+  Revert refuseStoreCalls();
+  Revert delayRequests();
+  Revert resetRequests();
+  Revert dropResponses();
+  // Bytes on the way to the platform, and between entries.
+  Revert cutPlatform() { return cut("platform", Proxies_.ToPlatform_); }
+  Revert cutPeers() { return cut("peers", Proxies_.FromPeers_); }
+  Revert cutOff();
+  Revert resetConnections();
+  Revert stallConnections();
+  // The store.
+  Revert loseAnswers();
+  Revert lateAnswers();
+  Revert pauseLeases();
+  Revert hideWorkers();
+  // Workers and machines.
+  Revert crashWorker();
+  Revert loseStops();
+  Revert loseStartAnswers();
+  Revert lateStarts();
+  Revert wave();
+
+  /// Cuts one entry's way: there, back or both.
+  Revert cut(const std::string &What, std::deque<FaultProxy> &Proxies);
+  Revert cutUpstream(const std::string &What, FaultProxy &Proxy);
+  Revert cutDownstream(const std::string &What, FaultProxy &Proxy);
+  FaultProxy &randomProxy();
+
+  CellPlatform &Platform_;
+  EntryProcesses &Entries_;
+  ProxySet &Proxies_;
+  std::vector<std::uint16_t> PlatformPorts_;
+  std::size_t MachineCount_;
+  Random Random_;
+  std::map<std::string, int> ActiveByName_;
+  std::size_t Active_ = 0;
+  std::size_t Count_ = 0;
+  std::uint64_t NextWave_ = 1;
+};
+
+} // namespace laburnumspread::soak
--- a/soak/wire.h
+++ b/soak/faultproxy.h
@@ -14,29 +14,29 @@
 /// Held bytes stay on the way, as packets do that are sent again and again, and
 /// go on when the cut ends. A connection that is made meanwhile is accepted and
 /// hears nothing.
-class Wire {
+class FaultProxy {
 public:
   /// Both ways are open at first.
-  struct Cuts {
+  struct Directions {
     /// From those who connect to the port behind it.
-    bool Forth_ = false;
-    bool Back_ = false;
+    bool Upstream_ = false;
+    bool Downstream_ = false;
   };
 
-  explicit Wire(boost::asio::io_context &Io);
+  explicit FaultProxy(boost::asio::io_context &Io);
 
-  /// Listens on a port of its own for \p Target, which need not be there.
-  absl::StatusOr<std::uint16_t> start(std::uint16_t Target);
+  /// Listens on a port of its own for \p TargetPort, which need not be there.
+  absl::StatusOr<std::uint16_t> start(std::uint16_t TargetPort);
 
-  void setForthCut(bool On);
-  void setBackCut(bool On);
+  void setUpstreamBlocked(bool On);
+  void setDownstreamBlocked(bool On);
   /// Resets all connections at once.
-  void resetAll();
+  void resetConnections();
   /// Lets all connections fall silent for good, both ways; new ones work.
-  void silenceAll();
+  void stallConnections();
 
   /// Bytes passed on, both ways.
-  std::uint64_t passed() const;
+  std::uint64_t forwardedBytes() const;
 
 private:
   struct State;
--- a/soak/judge.cpp
+++ b/soak/invariants.cpp
@@ -1,4 +1,4 @@
-#include "soak/judge.h"
+#include "soak/invariants.h"
 
 #include "framework/log/log.h"
 
@@ -6,8 +6,8 @@
 
 namespace {
 
-const JobRecord *recordOf(const JobBook &Book, const jobs::JobId &Id) {
-  for (const JobRecord &Job : Book)
+const JobRecord *findRecord(const JobRecords &Jobs, const jobs::JobId &Id) {
+  for (const JobRecord &Job : Jobs)
     if (Job.Id_ == Id)
       return &Job;
   return nullptr;
@@ -18,8 +18,8 @@
   return Found == Ledger.Running_.end() ? 0 : Found->second;
 }
 
-void addIdleTasks(const JobRecord &Job, const TaskLedger &Ledger,
-                  std::vector<std::string> &Into) {
+void addMissingStandingTasks(const JobRecord &Job, const TaskLedger &Ledger,
+                             std::vector<std::string> &Into) {
   for (std::uint32_t Step = 0; Step < Job.Tasks_.size(); ++Step)
     for (std::uint32_t Index = 0; Index < Job.Tasks_[Step]; ++Index) {
       const jobs::TaskName Task{Job.Id_, 0, Step, Index};
@@ -30,23 +30,23 @@
 
 } // namespace
 
-void Verdict::find(const std::string &What) {
+void FindingLog::report(const std::string &What) {
   if (Findings_.insert(What).second)
     framework::log::error("soak.finding").field("what", What);
 }
 
-void Verdict::find(const std::vector<std::string> &All) {
+void FindingLog::report(const std::vector<std::string> &All) {
   for (const std::string &What : All)
-    find(What);
+    report(What);
 }
 
-std::vector<std::string> neverAllowed(const JobBook &Book,
-                                      const TaskLedger &Ledger) {
+std::vector<std::string> findSafetyViolations(const JobRecords &Jobs,
+                                              const TaskLedger &Ledger) {
   std::vector<std::string> Result;
   for (const jobs::TaskName &Task : Ledger.ForbiddenDuplicates_)
     Result.push_back("task in two places or again after a good end: " +
                      Task.str());
-  for (const JobRecord &Job : Book) {
+  for (const JobRecord &Job : Jobs) {
     if (!Job.Refused_)
       continue;
     const auto Started = Ledger.Starts_.lower_bound({Job.Id_, 0, 0, 0});
@@ -56,32 +56,32 @@
   return Result;
 }
 
-std::vector<std::string> cancelledAtWork(const JobBook &Book,
-                                         const TaskLedger &Ledger) {
+std::vector<std::string> findRunningCancelledTasks(const JobRecords &Jobs,
+                                                   const TaskLedger &Ledger) {
   std::vector<std::string> Result;
   for (const auto &[Task, Running] : Ledger.Running_) {
     if (Running == 0)
       continue;
-    const JobRecord *Job = recordOf(Book, Task.Job_);
-    if (Job && Job->CancelHeard_)
+    const JobRecord *Job = findRecord(Jobs, Task.Job_);
+    if (Job && Job->CancelAcknowledged_)
       Result.push_back("task of a cancelled job at work: " + Task.str());
   }
   return Result;
 }
 
-std::vector<std::string> outstanding(const JobBook &Book,
-                                     const TaskLedger &Ledger) {
+std::vector<std::string> findUnfinishedWork(const JobRecords &Jobs,
+                                            const TaskLedger &Ledger) {
   std::vector<std::string> Result;
-  for (const JobRecord &Job : Book) {
+  for (const JobRecord &Job : Jobs) {
     if (!Job.Accepted_ && !Job.Refused_)
       Result.push_back("submit without a last word: " + Job.Id_.str());
-    else if (Job.CancelAsked_ && !Job.CancelHeard_)
+    else if (Job.CancelRequested_ && !Job.CancelAcknowledged_)
       Result.push_back("cancel not acknowledged: " + Job.Id_.str());
-    else if (!Job.Accepted_ || Job.CancelHeard_)
+    else if (!Job.Accepted_ || Job.CancelAcknowledged_)
       continue;
     else if (Job.Standing_)
-      addIdleTasks(Job, Ledger, Result);
-    else if (!Job.DoneHeard_)
+      addMissingStandingTasks(Job, Ledger, Result);
+    else if (!Job.DoneObserved_)
       Result.push_back("job not done: " + Job.Id_.str());
   }
   return Result;
--- a/soak/judge.h
+++ b/soak/invariants.h
@@ -22,20 +22,20 @@
   bool Accepted_ = false;
   /// All attempts were refused, or never left.
   bool Refused_ = false;
-  bool CancelAsked_ = false;
-  bool CancelHeard_ = false;
-  bool DoneHeard_ = false;
+  bool CancelRequested_ = false;
+  bool CancelAcknowledged_ = false;
+  bool DoneObserved_ = false;
 };
 
 /// All jobs of a run; records stay where they are.
-using JobBook = std::deque<JobRecord>;
+using JobRecords = std::deque<JobRecord>;
 
 /// Findings, each told once.
-class Verdict {
+class FindingLog {
 public:
-  void find(const std::string &What);
-  void find(const std::vector<std::string> &All);
-  bool red() const { return !Findings_.empty(); }
+  void report(const std::string &What);
+  void report(const std::vector<std::string> &All);
+  bool hasFindings() const { return !Findings_.empty(); }
   const std::set<std::string> &findings() const { return Findings_; }
 
 private:
@@ -44,16 +44,16 @@
 
 /// What may be at no time: a task in two places, or again after a good end that
 /// was noted; a task of a job that was refused.
-std::vector<std::string> neverAllowed(const JobBook &Book,
-                                      const TaskLedger &Ledger);
+std::vector<std::string> findSafetyViolations(const JobRecords &Jobs,
+                                              const TaskLedger &Ledger);
 
 /// Tasks at work of jobs whose cancel was acknowledged.
-std::vector<std::string> cancelledAtWork(const JobBook &Book,
-                                         const TaskLedger &Ledger);
+std::vector<std::string> findRunningCancelledTasks(const JobRecords &Jobs,
+                                                   const TaskLedger &Ledger);
 
 /// What is still to come: calls without a last word, finite jobs that are not
 /// done, standing tasks that are not at work.
-std::vector<std::string> outstanding(const JobBook &Book,
-                                     const TaskLedger &Ledger);
+std::vector<std::string> findUnfinishedWork(const JobRecords &Jobs,
+                                            const TaskLedger &Ledger);
 
 } // namespace laburnumspread::soak
--- a/soak/random.h
+++ b/soak/random.h
@@ -16,7 +16,7 @@
 
   std::uint64_t below(std::uint64_t End) { return Engine_() % End; }
   /// True once in \p Times.
-  bool onceIn(std::uint64_t Times) { return below(Times) == 0; }
+  bool oneIn(std::uint64_t Times) { return below(Times) == 0; }
   milliseconds between(milliseconds Low, milliseconds High) {
     return Low + milliseconds(below((High - Low).count() + 1));
   }
--- a/soak/tests/wiretest.cpp
+++ b/soak/tests/faultproxytest.cpp
@@ -1,4 +1,4 @@
-#include "soak/wire.h"
+#include "soak/faultproxy.h"
 
 #include "framework/fibers/asioscheduler.h"
 #include "framework/fibers/await.h"
@@ -28,20 +28,20 @@
 /// A caller and a server with the wire between them.
 struct Fixture {
   Fixture() {
-    const auto Port = Between_.start(Server_.local_endpoint().port());
+    const auto Port = Proxy_.start(Listener_.local_endpoint().port());
     BOOST_REQUIRE(Port.ok());
     Port_ = *Port;
-    connect(Caller_, Served_);
+    connect(Client_, Accepted_);
   }
 
-  void connect(tcp::socket &Caller, tcp::socket &Served) {
+  void connect(tcp::socket &Client, tcp::socket &Accepted) {
     BOOST_REQUIRE(!await([&](auto Done) {
-                     Caller.async_connect(
+                     Client.async_connect(
                          {asio::ip::address_v4::loopback(), Port_},
                          std::move(Done));
                    }).Error_);
     BOOST_REQUIRE(!await([&](auto Done) {
-                     Server_.async_accept(Served, std::move(Done));
+                     Listener_.async_accept(Accepted, std::move(Done));
                    }).Error_);
   }
 
@@ -70,57 +70,57 @@
     return true;
   }
 
-  tcp::acceptor Server_{sharedIo(), {asio::ip::address_v4::loopback(), 0}};
-  Wire Between_{sharedIo()};
+  tcp::acceptor Listener_{sharedIo(), {asio::ip::address_v4::loopback(), 0}};
+  FaultProxy Proxy_{sharedIo()};
   std::uint16_t Port_ = 0;
-  tcp::socket Caller_{sharedIo()};
-  tcp::socket Served_{sharedIo()};
+  tcp::socket Client_{sharedIo()};
+  tcp::socket Accepted_{sharedIo()};
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(WireTest, Fixture)
+BOOST_FIXTURE_TEST_SUITE(FaultProxyTest, Fixture)
 
 BOOST_AUTO_TEST_CASE(BytesPassBothWays) {
-  send(Caller_);
-  BOOST_TEST(!read(Served_));
-  send(Served_);
-  BOOST_TEST(!read(Caller_));
-  BOOST_TEST(Between_.passed() == 2u);
+  send(Client_);
+  BOOST_TEST(!read(Accepted_));
+  send(Accepted_);
+  BOOST_TEST(!read(Client_));
+  BOOST_TEST(Proxy_.forwardedBytes() == 2u);
 }
 
 BOOST_AUTO_TEST_CASE(CutHoldsOneWayAndLetsGoWhenItEnds) {
-  Between_.setForthCut(true);
-  send(Caller_);
-  send(Served_);
-  BOOST_TEST(!read(Caller_));
-  BOOST_TEST(staysEmpty(Served_));
-  Between_.setForthCut(false);
-  BOOST_TEST(!read(Served_));
+  Proxy_.setUpstreamBlocked(true);
+  send(Client_);
+  send(Accepted_);
+  BOOST_TEST(!read(Client_));
+  BOOST_TEST(staysEmpty(Accepted_));
+  Proxy_.setUpstreamBlocked(false);
+  BOOST_TEST(!read(Accepted_));
 }
 
 BOOST_AUTO_TEST_CASE(ResetBreaksBothSides) {
-  send(Caller_);
-  BOOST_TEST(!read(Served_));
-  Between_.resetAll();
-  BOOST_TEST((read(Caller_) == asio::error::connection_reset));
-  BOOST_TEST((read(Served_) == asio::error::connection_reset));
+  send(Client_);
+  BOOST_TEST(!read(Accepted_));
+  Proxy_.resetConnections();
+  BOOST_TEST((read(Client_) == asio::error::connection_reset));
+  BOOST_TEST((read(Accepted_) == asio::error::connection_reset));
 }
 
 BOOST_AUTO_TEST_CASE(SilencedConnectionStaysSilentAndNewOnesWork) {
-  Between_.silenceAll();
-  send(Caller_);
-  BOOST_TEST(staysEmpty(Served_));
-  tcp::socket Caller(sharedIo()), Served(sharedIo());
-  connect(Caller, Served);
-  send(Caller);
-  BOOST_TEST(!read(Served));
-  BOOST_TEST(staysEmpty(Served_));
+  Proxy_.stallConnections();
+  send(Client_);
+  BOOST_TEST(staysEmpty(Accepted_));
+  tcp::socket Client(sharedIo()), Accepted(sharedIo());
+  connect(Client, Accepted);
+  send(Client);
+  BOOST_TEST(!read(Accepted));
+  BOOST_TEST(staysEmpty(Accepted_));
 }
 
 BOOST_AUTO_TEST_CASE(EndIsPassedOn) {
-  Caller_.close();
-  BOOST_TEST((read(Served_) == asio::error::eof));
+  Client_.close();
+  BOOST_TEST((read(Accepted_) == asio::error::eof));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/soak/tests/judgetest.cpp
+++ b/soak/tests/invariantstest.cpp
@@ -1,4 +1,4 @@
-#include "soak/judge.h"
+#include "soak/invariants.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -14,63 +14,63 @@
     Job.Id_ = jobs::JobId("0000000000000001");
     Job.Tasks_ = {2};
     Job.Accepted_ = true;
-    Book_.push_back(Job);
+    Jobs_.push_back(Job);
   }
 
-  JobRecord &job() { return Book_.front(); }
+  JobRecord &job() { return Jobs_.front(); }
   jobs::TaskName task(std::uint32_t Index) { return {job().Id_, 0, 0, Index}; }
 
-  JobBook Book_;
+  JobRecords Jobs_;
   TaskLedger Ledger_;
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(JudgeTest, Fixture)
+BOOST_FIXTURE_TEST_SUITE(InvariantsTest, Fixture)
 
 BOOST_AUTO_TEST_CASE(TaskInTwoPlacesIsFound) {
-  BOOST_TEST(neverAllowed(Book_, Ledger_).empty());
+  BOOST_TEST(findSafetyViolations(Jobs_, Ledger_).empty());
   Ledger_.ForbiddenDuplicates_.insert(task(0));
-  BOOST_TEST(neverAllowed(Book_, Ledger_).size() == 1u);
+  BOOST_TEST(findSafetyViolations(Jobs_, Ledger_).size() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(RefusedJobThatRanIsFound) {
   Ledger_.Starts_[task(1)] = 1;
-  BOOST_TEST(neverAllowed(Book_, Ledger_).empty());
+  BOOST_TEST(findSafetyViolations(Jobs_, Ledger_).empty());
   job().Accepted_ = false;
   job().Refused_ = true;
-  BOOST_TEST(neverAllowed(Book_, Ledger_).size() == 1u);
+  BOOST_TEST(findSafetyViolations(Jobs_, Ledger_).size() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(CancelledJobAtWorkIsFound) {
   Ledger_.Running_[task(0)] = 1;
   Ledger_.Running_[task(1)] = 0;
-  job().CancelAsked_ = true;
-  BOOST_TEST(cancelledAtWork(Book_, Ledger_).empty());
-  job().CancelHeard_ = true;
-  BOOST_TEST(cancelledAtWork(Book_, Ledger_).size() == 1u);
+  job().CancelRequested_ = true;
+  BOOST_TEST(findRunningCancelledTasks(Jobs_, Ledger_).empty());
+  job().CancelAcknowledged_ = true;
+  BOOST_TEST(findRunningCancelledTasks(Jobs_, Ledger_).size() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(WhatIsNotDoneIsOutstanding) {
-  BOOST_TEST(outstanding(Book_, Ledger_).size() == 1u);
-  job().DoneHeard_ = true;
-  BOOST_TEST(outstanding(Book_, Ledger_).empty());
+  BOOST_TEST(findUnfinishedWork(Jobs_, Ledger_).size() == 1u);
+  job().DoneObserved_ = true;
+  BOOST_TEST(findUnfinishedWork(Jobs_, Ledger_).empty());
 }
 
 BOOST_AUTO_TEST_CASE(StandingTaskNotAtWorkIsOutstanding) {
   job().Standing_ = true;
   Ledger_.Running_[task(1)] = 1;
-  BOOST_TEST(outstanding(Book_, Ledger_).size() == 1u);
+  BOOST_TEST(findUnfinishedWork(Jobs_, Ledger_).size() == 1u);
   Ledger_.Running_[task(0)] = 1;
-  BOOST_TEST(outstanding(Book_, Ledger_).empty());
+  BOOST_TEST(findUnfinishedWork(Jobs_, Ledger_).empty());
 }
 
 BOOST_AUTO_TEST_CASE(CancelWithoutALastWordIsOutstanding) {
-  job().DoneHeard_ = true;
-  job().CancelAsked_ = true;
-  BOOST_TEST(outstanding(Book_, Ledger_).size() == 1u);
-  job().CancelHeard_ = true;
-  BOOST_TEST(outstanding(Book_, Ledger_).empty());
+  job().DoneObserved_ = true;
+  job().CancelRequested_ = true;
+  BOOST_TEST(findUnfinishedWork(Jobs_, Ledger_).size() == 1u);
+  job().CancelAcknowledged_ = true;
+  BOOST_TEST(findUnfinishedWork(Jobs_, Ledger_).empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
