--- a/soak/faultinjector.cpp
+++ b/soak/faultinjector.cpp
@@ -31,16 +31,16 @@
     {"stop", &FaultInjector::stop},
     {"freeze", &FaultInjector::freeze},
     {"change-settings", &FaultInjector::changeSettings},
-    {"shut-door", &FaultInjector::blockStoreAccess},
-    {"shut-all-doors", &FaultInjector::refuseStoreCalls},
-    {"slow-door", &FaultInjector::delayRequests},
-    {"reset-door", &FaultInjector::resetRequests},
-    {"mute-door", &FaultInjector::dropResponses},
+    {"block-store-access", &FaultInjector::blockStoreAccess},
+    {"refuse-store-calls", &FaultInjector::refuseStoreCalls},
+    {"delay-requests", &FaultInjector::delayRequests},
+    {"reset-requests", &FaultInjector::resetRequests},
+    {"drop-responses", &FaultInjector::dropResponses},
     {"cut-platform", &FaultInjector::cutPlatform},
     {"cut-peers", &FaultInjector::cutPeers},
     {"cut-off", &FaultInjector::cutOff},
-    {"reset-wires", &FaultInjector::resetConnections},
-    {"silence-wires", &FaultInjector::stallConnections},
+    {"reset-connections", &FaultInjector::resetConnections},
+    {"stall-connections", &FaultInjector::stallConnections},
     {"lose-answers", &FaultInjector::loseAnswers},
     {"late-answers", &FaultInjector::lateAnswers},
     {"pause-leases", &FaultInjector::pauseLeases},
@@ -104,7 +104,7 @@
     const std::string &What,
     const std::function<void(std::uint16_t, bool)> &Set) {
   const std::size_t Entry = randomEntry();
-  framework::log::info("soak.door")
+  framework::log::info("soak.platform_port")
       .field("entry", static_cast<std::uint64_t>(Entry));
   return applyShared(
       What + std::to_string(Entry),
@@ -150,13 +150,13 @@
 }
 
 FaultInjector::Revert FaultInjector::blockStoreAccess() {
-  return onPlatformPort("shut", [this](std::uint16_t Port, bool On) {
+  return onPlatformPort("block", [this](std::uint16_t Port, bool On) {
     On ? Platform_.blockStoreAccess(Port) : Platform_.unblockStoreAccess(Port);
   });
 }
 
 FaultInjector::Revert FaultInjector::refuseStoreCalls() {
-  return applyShared("shut-all", [this](bool On) {
+  return applyShared("refuse-all", [this](bool On) {
     Platform_.faults().RefuseStoreCalls_ = On;
   });
 }
@@ -175,7 +175,7 @@
 }
 
 FaultInjector::Revert FaultInjector::dropResponses() {
-  return onPlatformPort("mute", [this](std::uint16_t Port, bool On) {
+  return onPlatformPort("drop", [this](std::uint16_t Port, bool On) {
     Platform_.portFaults(Port).DropResponses_ = On;
   });
 }
