--- a/soak/callers.cpp
+++ b/soak/callers.cpp
@@ -21,11 +21,12 @@
 constexpr int NotSent = 0;
 constexpr int NoAnswer = -1;
 constexpr auto RequestTimeout = 3000ms;
-/// After so many refusals at the most, and nothing but refusals, a caller gives
-/// up.
+/// Upper limit of the random number of attempts after which a caller gives up,
+/// if all of them were refused.
 constexpr std::uint64_t MaxRefusals = 6;
 constexpr std::uint64_t MaxTasksPerStep = 4;
-/// Standing jobs at once, so that the workers have room for all.
+/// Limit of concurrent standing jobs, so that the workers have capacity for
+/// all.
 constexpr int MaxStandingJobs = 12;
 
 bool isRefusal(int Status) {
@@ -111,7 +112,7 @@
     const int Status = call(Self, "POST", Job.Id_.str(), Body, ResponseBody);
     Job.Accepted_ = Status == 200;
     if (Status >= 400 && Status < 500 && Status != 429)
-      FindingLog_.report("submit of a good job answered " +
+      FindingLog_.report("submit of a valid job was answered with status " +
                          std::to_string(Status));
     OnlyRefused = OnlyRefused && isRefusal(Status);
     if (OnlyRefused && Attempt == RefusalLimit) {
@@ -139,7 +140,7 @@
 void Callers::reportClientError(const JobRecord &Job, int Status,
                                 const std::string &Call) {
   if (Status >= 400 && Status < 500 && Status != 429)
-    FindingLog_.report(Call + " of an accepted job answered " +
+    FindingLog_.report(Call + " of an accepted job was answered with status " +
                        std::to_string(Status) + ": " + Job.Id_.str());
 }
 
@@ -152,7 +153,7 @@
   const std::string State = parseJobState(ResponseBody);
   Job.DoneObserved_ = State == "done";
   if (State == "failed" || State == "cancelled")
-    FindingLog_.report("job that nobody cancelled is " + State + ": " +
+    FindingLog_.report("job without a cancel request is " + State + ": " +
                        Job.Id_.str());
   if (Job.DoneObserved_ && Job.Standing_)
     FindingLog_.report("standing job is done: " + Job.Id_.str());
@@ -194,8 +195,9 @@
                           : Job.Standing_ ? State == "running"
                                           : State == "done";
     if (!Expected)
-      Result.push_back("at the end job " + Job.Id_.str() + " is answered " +
-                       std::to_string(Status) + " " + State);
+      Result.push_back("final state of job " + Job.Id_.str() +
+                       " is wrong: status " + std::to_string(Status) + " " +
+                       State);
   }
   return Result;
 }
--- a/soak/callers.h
+++ b/soak/callers.h
@@ -6,26 +6,30 @@
 
 namespace laburnumspread::soak {
 
-/// Callers who hand jobs in, ask for their states and cancel some. Each keeps
-/// its connections until the entry's process is gone.
+/// Workload generator: simulated callers that submit jobs, poll their states
+/// and cancel some of them. Each caller keeps its connections open until the
+/// entry's process exits.
 class Callers {
 public:
   Callers(boost::asio::io_context &Io, const EntryProcesses &Entries,
           JobRecords &Jobs, FindingLog &Findings)
       : Io_(Io), Entries_(Entries), Jobs_(Jobs), FindingLog_(Findings) {}
 
+  /// Starts \p Count callers, whose random choices derive from \p Seed.
   void start(std::size_t Count, std::uint64_t Seed);
-  /// No more jobs are handed in; those that are there are followed further.
+  /// Stops submitting jobs; jobs already submitted are still polled.
   void stopSubmitting() { Stopping_ = true; }
-  /// All entries answer.
+  /// Whether every entry answers a request with status 200.
   bool allEntriesServe();
-  /// Asks for the state of each accepted job once more; returns what is wrong.
+  /// Reads the state of every accepted job once and returns a message for each
+  /// state that does not match what its caller was told.
   std::vector<std::string> checkFinalStates();
 
+  /// Number of cancels answered with status 200.
   std::size_t acknowledgedCancels() const { return AcknowledgedCancels_; }
 
 private:
-  /// One caller: its draws and its connections.
+  /// One caller: its random numbers and a client for each entry.
   struct Caller {
     explicit Caller(std::uint64_t Seed) : Random_(Seed) {}
 
@@ -41,9 +45,11 @@
   void pollUntilDone(Caller &Self, JobRecord &Job);
   void readState(Caller &Self, JobRecord &Job);
   void cancel(Caller &Self, JobRecord &Job);
-  /// Status of the answer, NotSent or NoAnswer.
+  /// Sends a request to a random entry. Returns the status of the response,
+  /// NotSent or NoAnswer.
   int call(Caller &Self, const std::string &Method, const std::string &Id,
            const std::string &Body, std::string &ResponseBody);
+  /// Reports a 4xx status other than 429 on a call about an accepted job.
   void reportClientError(const JobRecord &Job, int Status,
                          const std::string &Call);
 
--- a/soak/entryprocesses.cpp
+++ b/soak/entryprocesses.cpp
@@ -18,14 +18,15 @@
 
 namespace {
 
-/// Below the range from which systems give out ports by themselves, so that no
-/// connection takes an entry's port while its process is away.
+/// Below the ephemeral port range, so that no outgoing connection takes an
+/// entry's port while its process is restarting.
 constexpr std::uint16_t FirstPort = 20000;
 constexpr std::uint16_t PortRange = 10000;
 constexpr int MaxPortTries = 1000;
-/// Longer than any run, so that an ended job is known to the end.
+/// Longer than any run, so that the states of ended jobs can be read until the
+/// run is over.
 constexpr int StatusKeptSeconds = 36000;
-/// What a shell tells of a process that a signal ended.
+/// Shells report a process killed by signal N as exit code 128 + N.
 constexpr int SignalExitBase = 128;
 
 bool isFree(std::uint16_t Port) {
@@ -66,8 +67,9 @@
     if (!AlreadyChosen && isFree(Port))
       Ports_.push_back(Port);
   }
-  return Ports_.size() == 2 * Count_ ? absl::OkStatus()
-                                     : absl::UnavailableError("no free ports");
+  return Ports_.size() == 2 * Count_
+             ? absl::OkStatus()
+             : absl::UnavailableError("no free ports for the entries");
 }
 
 absl::Status EntryProcesses::writeSettings(
@@ -116,7 +118,8 @@
   std::ofstream(Name + ".new") << json::serialize(Settings) << '\n';
   std::error_code Error;
   std::filesystem::rename(Name + ".new", Name, Error);
-  return Error ? absl::UnavailableError(Name + ": " + Error.message())
+  return Error ? absl::UnavailableError(
+                     Name + " cannot be written: " + Error.message())
                : absl::OkStatus();
 }
 
@@ -157,9 +160,9 @@
     for (const auto &[Id, Code] : exits(I)) {
       const auto Sent = SentSignals_[I].find(Id);
       if (Sent == SentSignals_[I].end() || !isExpectedExit(Code, Sent->second))
-        Result.push_back("entry " + std::to_string(I) + " process " +
-                         std::to_string(Id) + " ended by itself, code " +
-                         std::to_string(Code));
+        Result.push_back(
+            "entry " + std::to_string(I) + " process " + std::to_string(Id) +
+            " exited unexpectedly with code " + std::to_string(Code));
     }
   return Result;
 }
@@ -171,7 +174,8 @@
     for (const auto &[Id, Signals] : SentSignals_[I])
       if (!Exits.contains(Id))
         Result.push_back("entry " + std::to_string(I) + " process " +
-                         std::to_string(Id) + " was told to end and lives");
+                         std::to_string(Id) +
+                         " was sent a termination signal and still runs");
   }
   return Result;
 }
--- a/soak/entryprocesses.h
+++ b/soak/entryprocesses.h
@@ -10,41 +10,48 @@
 
 namespace laburnumspread::soak {
 
-/// The entries' processes, which tools/soak starts and starts again. It and the
-/// driver tell each other by files in one folder:
-///   entry-N.json  settings, written here
-///   entry-N.pid   id of the process, there while it lives
-///   entry-N.ends  a line for each process that has ended: id and exit code
+/// The entries' processes. tools/soak starts and restarts them and exchanges
+/// files with this class in one folder:
+///   entry-N.json  settings, written by this class
+///   entry-N.pid   process id, present while the process runs
+///   entry-N.ends  one line per exited process: process id and exit code
 class EntryProcesses {
 public:
   EntryProcesses(std::string Folder, std::size_t Count);
 
-  /// Finds free ports for the callers and the peers of each entry. Not from the
-  /// run's seed: two runs of one seed at a time would choose the same ports.
+  /// Finds free ports for the callers and the peers of each entry. The ports do
+  /// not depend on the run's seed, because two concurrent runs of one seed
+  /// would choose the same ports. Returns an Unavailable error if too few are
+  /// free.
   absl::Status choosePorts();
-  /// \p PlatformPorts: the port by which each entry reaches the platform; \p
-  /// PeerProxyPorts: that by which its peers reach it.
+  /// Writes the settings of all entries. \p PlatformPorts holds the port
+  /// through which each entry reaches the platform, \p PeerProxyPorts the port
+  /// through which its peers reach it. Returns an Unavailable error if a file
+  /// cannot be written.
   absl::Status writeSettings(const std::vector<std::uint16_t> &PlatformPorts,
                              const std::vector<std::uint16_t> &PeerProxyPorts);
-  /// Writes an entry's file with other values of what it takes up at run time.
+  /// Rewrites an entry's settings with values selected by \p Choice; only
+  /// settings that can be reloaded at run time change.
   absl::Status changeSettings(std::size_t Index, std::uint64_t Choice);
 
   std::size_t count() const { return Count_; }
   framework::http::Address callerAddress(std::size_t Index) const {
     return {"127.0.0.1", Ports_[Index]};
   }
-  /// Where an entry itself listens for its peers.
+  /// Port on which the entry itself listens for its peers, behind the proxy.
   std::uint16_t peerPort(std::size_t Index) const {
     return Ports_[Count_ + Index];
   }
-  /// 0 while no process lives.
+  /// Process id of the entry, 0 while no process runs.
   pid_t processId(std::size_t Index) const;
-  /// Sends \p Number to \p Process if it is still this entry's.
+  /// Sends signal \p Number to \p Process if that is still this entry's
+  /// process. Returns whether the signal was sent.
   bool signal(std::size_t Index, pid_t Process, int Number);
 
-  /// Processes that ended without being told to, or otherwise than told.
+  /// Messages about processes that exited without having been sent a signal, or
+  /// with an exit code that does not match the signals sent.
   std::vector<std::string> unexpectedExits() const;
-  /// Processes that were told to end and have not.
+  /// Messages about processes that were sent SIGTERM or SIGKILL and still run.
   std::vector<std::string> missingExits() const;
 
 private:
@@ -55,13 +62,13 @@
 
   std::string Folder_;
   std::size_t Count_;
-  /// For the callers of each entry, then for the peers of each.
+  /// Caller ports of all entries, followed by their peer ports.
   std::vector<std::uint16_t> Ports_;
   std::vector<std::uint16_t> PlatformPorts_;
   std::vector<std::uint16_t> PeerProxyPorts_;
   std::string PublicKey_;
   std::string SecretKey_;
-  /// Signals to end that each process was sent.
+  /// For each entry, the SIGTERM and SIGKILL signals sent to each process.
   std::vector<std::map<pid_t, std::set<int>>> SentSignals_;
 };
 
--- a/soak/faultinjector.cpp
+++ b/soak/faultinjector.cpp
@@ -16,7 +16,7 @@
 constexpr auto MinFaultTime = 100ms;
 constexpr auto MaxFaultTime = 4000ms;
 constexpr auto MaxPause = 1200ms;
-/// One fault in so many brings others at once.
+/// One injection in this many injects BurstSize faults at once.
 constexpr std::uint64_t BurstOdds = 6;
 constexpr int BurstSize = 3;
 constexpr auto PollInterval = 20ms;
--- a/soak/faultinjector.h
+++ b/soak/faultinjector.h
@@ -9,13 +9,13 @@
 
 namespace laburnumspread::soak {
 
-/// What goes wrong, drawn from a seed: each fault begins, lasts for a while and
-/// ends; several may overlap.
+/// Injects faults chosen at random from a seed. Each fault lasts for a random
+/// time and is then reverted; faults may overlap.
 class FaultInjector {
 public:
   using CellPlatform = platform::standin::CellPlatform;
 
-  /// The ways of each entry's bytes: to the platform, and from its peers.
+  /// The proxies of each entry: to the platform, and from its peers.
   struct ProxySet {
     std::deque<FaultProxy> ToPlatform_;
     std::deque<FaultProxy> FromPeers_;
@@ -25,11 +25,13 @@
                 std::vector<std::uint16_t> PlatformPorts, ProxySet &Proxies,
                 std::size_t MachineCount, std::uint64_t Seed);
 
-  /// Begins faults for \p Time and returns when all have ended.
+  /// Injects faults for \p Time and returns when all have been reverted.
   void injectFor(milliseconds Time);
+  /// Number of faults injected so far.
   std::size_t count() const { return Count_; }
 
 private:
+  /// Ends a fault.
   using Revert = std::function<void()>;
   struct Kind {
     std::string_view Name_;
@@ -38,10 +40,12 @@
   static const std::vector<Kind> Kinds;
 
   void injectOne();
-  /// Sets something until the last of those who asked for it has ended.
+  /// Calls \p Set with true when the first of several overlapping faults called
+  /// \p What begins, and with false when the last of them is reverted.
   Revert applyShared(const std::string &What,
                      const std::function<void(bool)> &Set);
   std::size_t randomEntry() { return Random_.below(Entries_.count()); }
+  /// Calls applyShared for the platform port of a random entry.
   Revert onPlatformPort(const std::string &What,
                         const std::function<void(std::uint16_t, bool)> &Set);
 
@@ -51,13 +55,13 @@
   Revert stop();
   Revert freeze();
   Revert changeSettings();
-  // The way to the platform.
+  // Requests through an entry's platform port.
   Revert blockStoreAccess();
   Revert refuseStoreCalls();
   Revert delayRequests();
   Revert resetRequests();
   Revert dropResponses();
-  // Bytes on the way to the platform, and between entries.
+  // Connections to the platform and between entries.
   Revert cutPlatform() { return cut("platform", Proxies_.ToPlatform_); }
   Revert cutPeers() { return cut("peers", Proxies_.FromPeers_); }
   Revert cutOff();
@@ -75,7 +79,7 @@
   Revert lateStarts();
   Revert wave();
 
-  /// Cuts one entry's way: there, back or both.
+  /// Blocks one entry's proxy upstream, downstream or both.
   Revert cut(const std::string &What, std::deque<FaultProxy> &Proxies);
   Revert cutUpstream(const std::string &What, FaultProxy &Proxy);
   Revert cutDownstream(const std::string &What, FaultProxy &Proxy);
--- a/soak/faultproxy.cpp
+++ b/soak/faultproxy.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-/// How often held bytes look whether they may go on.
+/// How often a blocked connection checks whether it may continue.
 constexpr auto PollInterval = 5ms;
 constexpr std::size_t ChunkBytes = 16 * 1024;
 
@@ -29,7 +29,7 @@
 
 namespace {
 
-/// One connection through the wire.
+/// One connection through the proxy.
 struct Connection {
   explicit Connection(asio::io_context &Io) : Client_(Io), Server_(Io) {}
 
@@ -83,13 +83,14 @@
     forward(*Conn, Conn->Server_, Conn->Client_, Blocked_.Downstream_);
   }
 
-  /// Waits while the way is cut, or for the connection's end.
+  /// Waits while the direction is blocked or the connection is stalled, until
+  /// the client's socket is closed.
   void waitUntilOpen(const Connection &Conn, const bool &Blocked) const {
     while ((Blocked || Conn.Stalled_) && Conn.Client_.is_open())
       framework::fibers::sleepFor(PollInterval);
   }
 
-  /// Passes on what comes from \p From until one side ends.
+  /// Forwards bytes from \p From to \p To until one side closes.
   void forward(Connection &Conn, tcp::socket &From, tcp::socket &To,
                const bool &Blocked) {
     std::array<char, ChunkBytes> Chunk;
@@ -143,7 +144,8 @@
   if (!Error)
     State_->Acceptor_.listen(asio::socket_base::max_listen_connections, Error);
   if (Error)
-    return absl::UnavailableError("wire: " + Error.message());
+    return absl::UnavailableError("fault proxy cannot listen: " +
+                                  Error.message());
   framework::fibers::spawn([Self = State_] { Self->acceptLoop(); });
   return State_->Acceptor_.local_endpoint().port();
 }
--- a/soak/faultproxy.h
+++ b/soak/faultproxy.h
@@ -8,34 +8,38 @@
 
 namespace laburnumspread::soak {
 
-/// The network on the way to one port of this machine: passes the bytes of each
-/// connection on, and holds them back or breaks connections as it is told.
+/// TCP proxy that simulates network faults in front of one local port: it
+/// forwards the bytes of each connection, and can block them or reset
+/// connections.
 ///
-/// Held bytes stay on the way, as packets do that are sent again and again, and
-/// go on when the cut ends. A connection that is made meanwhile is accepted and
-/// hears nothing.
+/// Blocked bytes are held back, as retransmitted packets would be, and
+/// forwarded when the block ends. A connection made meanwhile is accepted and
+/// receives nothing.
 class FaultProxy {
 public:
-  /// Both ways are open at first.
+  /// Which directions are blocked; none at first.
   struct Directions {
-    /// From those who connect to the port behind it.
+    /// From the connecting client to the port behind the proxy.
     bool Upstream_ = false;
     bool Downstream_ = false;
   };
 
   explicit FaultProxy(boost::asio::io_context &Io);
 
-  /// Listens on a port of its own for \p TargetPort, which need not be there.
+  /// Listens on a free loopback port, which is returned, and forwards to
+  /// \p TargetPort. Nothing needs to listen on \p TargetPort yet. Returns an
+  /// Unavailable error if the proxy cannot listen.
   absl::StatusOr<std::uint16_t> start(std::uint16_t TargetPort);
 
   void setUpstreamBlocked(bool On);
   void setDownstreamBlocked(bool On);
-  /// Resets all connections at once.
+  /// Resets all open connections.
   void resetConnections();
-  /// Lets all connections fall silent for good, both ways; new ones work.
+  /// Stops forwarding on all open connections for good, in both directions, and
+  /// leaves them open. New connections work.
   void stallConnections();
 
-  /// Bytes passed on, both ways.
+  /// Number of bytes forwarded in both directions.
   std::uint64_t forwardedBytes() const;
 
 private:
--- a/soak/invariants.cpp
+++ b/soak/invariants.cpp
@@ -24,7 +24,7 @@
     for (std::uint32_t Index = 0; Index < Job.Tasks_[Step]; ++Index) {
       const jobs::TaskName Task{Job.Id_, 0, Step, Index};
       if (running(Ledger, Task) == 0)
-        Into.push_back("standing task not at work: " + Task.str());
+        Into.push_back("standing task is not running: " + Task.str());
     }
 }
 
@@ -44,14 +44,15 @@
                                               const TaskLedger &Ledger) {
   std::vector<std::string> Result;
   for (const jobs::TaskName &Task : Ledger.ForbiddenDuplicates_)
-    Result.push_back("task in two places or again after a good end: " +
-                     Task.str());
+    Result.push_back(
+        "task ran in two places or again after a successful end: " +
+        Task.str());
   for (const JobRecord &Job : Jobs) {
     if (!Job.Refused_)
       continue;
     const auto Started = Ledger.Starts_.lower_bound({Job.Id_, 0, 0, 0});
     if (Started != Ledger.Starts_.end() && Started->first.Job_ == Job.Id_)
-      Result.push_back("refused job ran: " + Job.Id_.str());
+      Result.push_back("task of a refused job ran: " + Job.Id_.str());
   }
   return Result;
 }
@@ -64,7 +65,7 @@
       continue;
     const JobRecord *Job = findRecord(Jobs, Task.Job_);
     if (Job && Job->CancelAcknowledged_)
-      Result.push_back("task of a cancelled job at work: " + Task.str());
+      Result.push_back("task of a cancelled job is running: " + Task.str());
   }
   return Result;
 }
@@ -74,15 +75,15 @@
   std::vector<std::string> Result;
   for (const JobRecord &Job : Jobs) {
     if (!Job.Accepted_ && !Job.Refused_)
-      Result.push_back("submit without a last word: " + Job.Id_.str());
+      Result.push_back("submit without a final response: " + Job.Id_.str());
     else if (Job.CancelRequested_ && !Job.CancelAcknowledged_)
-      Result.push_back("cancel not acknowledged: " + Job.Id_.str());
+      Result.push_back("cancel is not acknowledged: " + Job.Id_.str());
     else if (!Job.Accepted_ || Job.CancelAcknowledged_)
       continue;
     else if (Job.Standing_)
       addMissingStandingTasks(Job, Ledger, Result);
     else if (!Job.DoneObserved_)
-      Result.push_back("job not done: " + Job.Id_.str());
+      Result.push_back("job is not done: " + Job.Id_.str());
   }
   return Result;
 }
--- a/soak/invariants.h
+++ b/soak/invariants.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-/// A soak: the real daemons under seeded faults, judged by what callers hear
-/// and what workers see.
+/// Soak test: runs real daemons under seeded faults and checks invariants
+/// against the callers' responses and the workers' task ledger.
 namespace laburnumspread::soak {
 
 using platform::standin::TaskLedger;
@@ -16,21 +16,22 @@
 /// One job, as its caller knows it.
 struct JobRecord {
   jobs::JobId Id_;
-  /// Tasks of each step.
+  /// Number of tasks of each step.
   std::vector<std::uint32_t> Tasks_;
   bool Standing_ = false;
   bool Accepted_ = false;
-  /// All attempts were refused, or never left.
+  /// All attempts to submit were refused or not sent.
   bool Refused_ = false;
   bool CancelRequested_ = false;
   bool CancelAcknowledged_ = false;
   bool DoneObserved_ = false;
 };
 
-/// All jobs of a run; records stay where they are.
+/// All jobs of a run. A deque, because callers keep references to their records
+/// while others are appended.
 using JobRecords = std::deque<JobRecord>;
 
-/// Findings, each told once.
+/// Collects invariant violations and logs each distinct one once.
 class FindingLog {
 public:
   void report(const std::string &What);
@@ -42,17 +43,18 @@
   std::set<std::string> Findings_;
 };
 
-/// What may be at no time: a task in two places, or again after a good end that
-/// was noted; a task of a job that was refused.
+/// Violations of what must hold at all times: no task runs in two places or
+/// again after a successful end that was recorded, and no task of a refused job
+/// runs.
 std::vector<std::string> findSafetyViolations(const JobRecords &Jobs,
                                               const TaskLedger &Ledger);
 
-/// Tasks at work of jobs whose cancel was acknowledged.
+/// Running tasks of jobs whose cancel was acknowledged.
 std::vector<std::string> findRunningCancelledTasks(const JobRecords &Jobs,
                                                    const TaskLedger &Ledger);
 
-/// What is still to come: calls without a last word, finite jobs that are not
-/// done, standing tasks that are not at work.
+/// Work still to be completed: submits and cancels without a final response,
+/// finite jobs that are not done, and standing tasks that are not running.
 std::vector<std::string> findUnfinishedWork(const JobRecords &Jobs,
                                             const TaskLedger &Ledger);
 
--- a/soak/soak.cpp
+++ b/soak/soak.cpp
@@ -14,8 +14,9 @@
 #include <boost/asio/io_context.hpp>
 #include <cxxopts.hpp>
 
-// laburnum-soak: platform, callers, faults and judge of one soak. tools/soak
-// starts it and the entries.
+// laburnum-soak: the driver of one soak run. It contains the platform stand-in,
+// the callers, the fault injector and the invariant checker. tools/soak starts
+// it and the entries.
 
 namespace {
 
@@ -28,15 +29,14 @@
 constexpr int BadUsage = 2;
 constexpr std::size_t MachineCount = 4;
 constexpr std::size_t CallerCount = 3;
-/// Longest time of faults before a calm.
+/// Longest time of fault injection before a recovery check.
 constexpr milliseconds MaxFaultPhase = 8000ms;
-/// Waits are for conditions; this only ends one that never comes true.
+/// Ends a wait whose condition never becomes true.
 constexpr auto SettleTimeout = 90s;
-/// A calm lasts on for this long after its conditions have come true, and they
-/// must stay so.
+/// After recovery, for this long no task of a cancelled job may run again.
 constexpr auto StableTime = 2s;
 constexpr auto PollInterval = 20ms;
-/// Findings that are printed; the log has all.
+/// Limit of findings in the verdict; the log has all of them.
 constexpr std::size_t MaxPrintedFindings = 10;
 
 struct Options {
@@ -46,7 +46,7 @@
   milliseconds FaultTime_{};
 };
 
-/// The parts of one run, which live until the process ends, as their fibers do.
+/// One soak run. Never destroyed: its fibers run until the process exits.
 class SoakRun {
 public:
   SoakRun(boost::asio::io_context &Io, const Options &RunOptions)
@@ -61,20 +61,22 @@
 private:
   using Findings = std::vector<std::string>;
 
-  /// Waits until \p FindProblems has nothing to tell; what it tells at the end
-  /// of all patience is found.
+  /// Waits until \p FindProblems returns nothing; what it still returns after
+  /// SettleTimeout is reported as findings.
   template <typename Check>
   void waitUntilClean(const char *What, const Check &FindProblems);
   platform::standin::TaskLedger &ledger() { return Platform_.ledger(); }
-  /// Puts a wire before each of the ports; the wires' own ports.
+  /// Starts a proxy in front of each of the ports; returns the proxies' ports.
   absl::StatusOr<std::vector<std::uint16_t>>
   startProxies(const std::vector<std::uint16_t> &Targets,
                std::deque<FaultProxy> &Into);
-  /// Ways by which no byte has come: then their cuts say nothing.
+  /// Findings if a platform proxy or all peer proxies forwarded no bytes:
+  /// blocking them would have tested nothing.
   Findings unusedProxies() const;
   void startInvariantChecks();
   void checkRecovery();
-  /// No cancelled job of \p Jobs may come to work again while it is calm.
+  /// Checks for StableTime that no task of a cancelled job in \p Jobs runs
+  /// again.
   void checkStaysStopped(const JobRecords &Jobs);
   void finish();
 
@@ -135,12 +137,14 @@
   Findings Result;
   for (const FaultProxy &Proxy : Proxies_.ToPlatform_)
     if (Proxy.forwardedBytes() == 0)
-      Result.push_back("an entry does not reach the platform by its wire");
+      Result.push_back(
+          "an entry has not reached the platform through its proxy");
   const auto Used = [](const FaultProxy &Proxy) {
     return Proxy.forwardedBytes() > 0;
   };
   if (std::ranges::none_of(Proxies_.FromPeers_, Used))
-    Result.push_back("entries do not reach each other by their wires");
+    Result.push_back(
+        "no entry has been reached by its peers through its proxy");
   return Result;
 }
 
@@ -177,7 +181,8 @@
     return Callers_.allEntriesServe() ? Findings()
                                       : Findings{"an entry does not serve"};
   });
-  // Jobs that are cancelled during the calm have their own time to end.
+  // Jobs cancelled during the check itself may still be running, so only jobs
+  // known before it are checked.
   const JobRecords Before = Jobs_;
   waitUntilClean("cancelled",
                  [&] { return findRunningCancelledTasks(Before, ledger()); });
@@ -265,16 +270,18 @@
 
 int main(int ArgCount, char **Args) {
   std::signal(SIGPIPE, SIG_IGN);
-  cxxopts::Options Parser("laburnum-soak",
-                          "Platform, callers, faults and judge of one soak");
-  Parser.add_options()("folder", "where files are exchanged with tools/soak",
+  cxxopts::Options Parser(
+      "laburnum-soak",
+      "Runs the platform, callers, faults and checks of one soak");
+  Parser.add_options()("folder", "folder for files exchanged with tools/soak",
                        cxxopts::value<std::string>())(
-      "seed", "of all draws",
+      "seed", "seed of all random choices",
       cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "seconds", "how long faults begin",
+      "seconds", "how long faults are injected",
       cxxopts::value<int>()->default_value("20"))(
-      "entries", "how many",
-      cxxopts::value<std::size_t>()->default_value("3"))("help", "help");
+      "entries", "number of entries",
+      cxxopts::value<std::size_t>()->default_value("3"))("help",
+                                                         "print this help");
   try {
     const auto Given = Parser.parse(ArgCount, Args);
     if (Given.count("help") || !Given.count("folder")) {
--- a/soak/tests/faultproxytest.cpp
+++ b/soak/tests/faultproxytest.cpp
@@ -25,7 +25,7 @@
   return Io;
 }
 
-/// A caller and a server with the wire between them.
+/// A client and a server connected through the proxy.
 struct Fixture {
   Fixture() {
     const auto Port = Proxy_.start(Listener_.local_endpoint().port());
@@ -51,7 +51,7 @@
     });
   }
 
-  /// The error of the next read, success when a byte has come.
+  /// Result of reading one byte.
   static boost::system::error_code read(tcp::socket &From) {
     char Byte = 0;
     return await([&](auto Done) {
@@ -60,7 +60,8 @@
         .Error_;
   }
 
-  /// Gives held bytes every chance to come through.
+  /// Whether nothing arrives within about 20 ms, in which held bytes would be
+  /// forwarded if they were released.
   static bool staysEmpty(const tcp::socket &To) {
     for (int Look = 0; Look < 20; ++Look) {
       if (To.available() > 0)
@@ -81,7 +82,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(FaultProxyTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(BytesPassBothWays) {
+BOOST_AUTO_TEST_CASE(BytesAreForwardedBothWays) {
   send(Client_);
   BOOST_TEST(!read(Accepted_));
   send(Accepted_);
@@ -89,7 +90,7 @@
   BOOST_TEST(Proxy_.forwardedBytes() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(CutHoldsOneWayAndLetsGoWhenItEnds) {
+BOOST_AUTO_TEST_CASE(BlockHoldsOneDirectionUntilItEnds) {
   Proxy_.setUpstreamBlocked(true);
   send(Client_);
   send(Accepted_);
@@ -107,7 +108,7 @@
   BOOST_TEST((read(Accepted_) == asio::error::connection_reset));
 }
 
-BOOST_AUTO_TEST_CASE(SilencedConnectionStaysSilentAndNewOnesWork) {
+BOOST_AUTO_TEST_CASE(StalledConnectionStaysStalledAndNewOnesWork) {
   Proxy_.stallConnections();
   send(Client_);
   BOOST_TEST(staysEmpty(Accepted_));
@@ -118,7 +119,7 @@
   BOOST_TEST(staysEmpty(Accepted_));
 }
 
-BOOST_AUTO_TEST_CASE(EndIsPassedOn) {
+BOOST_AUTO_TEST_CASE(EndOfStreamIsForwarded) {
   Client_.close();
   BOOST_TEST((read(Accepted_) == asio::error::eof));
 }
--- a/soak/tests/invariantstest.cpp
+++ b/soak/tests/invariantstest.cpp
@@ -2,7 +2,8 @@
 
 #include <boost/test/unit_test.hpp>
 
-// A soak is worth something only if a broken promise turns it red.
+// A soak run must fail when an invariant is violated. A checker that misses a
+// violation would let every run pass.
 
 namespace laburnumspread::soak {
 
@@ -28,13 +29,13 @@
 
 BOOST_FIXTURE_TEST_SUITE(InvariantsTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(TaskInTwoPlacesIsFound) {
+BOOST_AUTO_TEST_CASE(DuplicateTaskIsReported) {
   BOOST_TEST(findSafetyViolations(Jobs_, Ledger_).empty());
   Ledger_.ForbiddenDuplicates_.insert(task(0));
   BOOST_TEST(findSafetyViolations(Jobs_, Ledger_).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(RefusedJobThatRanIsFound) {
+BOOST_AUTO_TEST_CASE(RefusedJobThatRanIsReported) {
   Ledger_.Starts_[task(1)] = 1;
   BOOST_TEST(findSafetyViolations(Jobs_, Ledger_).empty());
   job().Accepted_ = false;
@@ -42,7 +43,7 @@
   BOOST_TEST(findSafetyViolations(Jobs_, Ledger_).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(CancelledJobAtWorkIsFound) {
+BOOST_AUTO_TEST_CASE(RunningCancelledJobIsReported) {
   Ledger_.Running_[task(0)] = 1;
   Ledger_.Running_[task(1)] = 0;
   job().CancelRequested_ = true;
@@ -51,13 +52,13 @@
   BOOST_TEST(findRunningCancelledTasks(Jobs_, Ledger_).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(WhatIsNotDoneIsOutstanding) {
+BOOST_AUTO_TEST_CASE(JobNotDoneIsUnfinished) {
   BOOST_TEST(findUnfinishedWork(Jobs_, Ledger_).size() == 1u);
   job().DoneObserved_ = true;
   BOOST_TEST(findUnfinishedWork(Jobs_, Ledger_).empty());
 }
 
-BOOST_AUTO_TEST_CASE(StandingTaskNotAtWorkIsOutstanding) {
+BOOST_AUTO_TEST_CASE(StandingTaskNotRunningIsUnfinished) {
   job().Standing_ = true;
   Ledger_.Running_[task(1)] = 1;
   BOOST_TEST(findUnfinishedWork(Jobs_, Ledger_).size() == 1u);
@@ -65,7 +66,7 @@
   BOOST_TEST(findUnfinishedWork(Jobs_, Ledger_).empty());
 }
 
-BOOST_AUTO_TEST_CASE(CancelWithoutALastWordIsOutstanding) {
+BOOST_AUTO_TEST_CASE(UnacknowledgedCancelIsUnfinished) {
   job().DoneObserved_ = true;
   job().CancelRequested_ = true;
   BOOST_TEST(findUnfinishedWork(Jobs_, Ledger_).size() == 1u);
