--- a/bench/fleet.sh
+++ b/bench/fleet.sh
@@ -1,5 +1,5 @@
-# Functions for bench scripts: a fleet of real daemons and the platform's
-# stand-in on loopback. Source it; it stops what it started on exit.
+# Functions for bench scripts that run a fleet of real daemons and the platform
+# stand-in on loopback. To be sourced; stops the processes it started on exit.
 cd "$(dirname "${BASH_SOURCE[0]}")/.."
 bin=build/${PRESET:-release}
 daemon=$bin/src/app/laburnumspreadd
@@ -14,6 +14,7 @@
 user=${FLEET_USER:-thalappakatti}
 example=deploy/examples/$user
 
+# start_standin: FLEET_FILE and REBOOT_MS override the fleet and reboot time
 start_standin() {
   "$bin/standin/laburnum-standin" --fleet "${FLEET_FILE:-$example/fleet.json}" \
     --reboot-ms "${REBOOT_MS:-500}" >"$logs/standin" 2>&1 &
@@ -21,7 +22,7 @@
   sleep 0.2
 }
 
-# start_entry N [SETTINGS]
+# start_entry N [SETTINGS]: SETTINGS defaults to the example's file for entry N
 start_entry() {
   "$daemon" --config "${2:-$example/entry-$1.json}" >>"$logs/entry-$1" 2>&1 &
   entry_pids[$1]=$!
@@ -32,11 +33,12 @@
     curl -sf "http://127.0.0.1:$((18100 + $1))/readyz" >/dev/null && return 0
     sleep 0.05
   done
-  echo "entry $1 does not become ready (logs in $logs)" >&2
+  echo "entry $1 did not become ready (logs in $logs)" >&2
   return 1
 }
 
-# wait_members COUNT [SECONDS]: until every entry that runs is in a settled view
+# wait_members COUNT [SECONDS]: waits until all COUNT entries are members of a
+# settled view
 wait_members() {
   for _ in $(seq $((${2:-20} * 10))); do
     [ "$($ctl get entries 2>/dev/null | grep -c 'entry-.*true ')" = "$1" ] &&
@@ -47,7 +49,8 @@
   return 1
 }
 
-# start_fleet COUNT
+# start_fleet COUNT: starts the stand-in and COUNT entries, waits until all have
+# joined, and applies the example's configuration
 start_fleet() {
   start_standin
   for n in $(seq "$1"); do start_entry "$n"; done
--- a/bench/load/loadrun.cpp
+++ b/bench/load/loadrun.cpp
@@ -60,8 +60,7 @@
     return Max.count() > 0 ? Duration(Random_() % Max.count()) : Max;
   }
 
-  /// With rotation: the pool whose turn it is gets most of the requests, and
-  /// out of turn most are left out.
+  /// Picks a random pool; with rotation, the pool at its peak in most cases.
   std::string pickPool() {
     const std::size_t Any = Random_() % Plan_.Pools_.size();
     if (Plan_.RotationPeriod_ == Duration(0))
@@ -126,8 +125,8 @@
     Result_.Samples_.push_back(std::move(Item));
   }
 
-  /// Returns whether to ask another entry, as the platform's balancer would:
-  /// nothing was sent, or the entry is being stopped.
+  /// Returns whether to retry at another entry, as the platform's load balancer
+  /// would: the request was not sent, or the entry is starting or leaving.
   bool tryExchange(Sample &Item) {
     http::Client &Server = *Clients_[Random_() % Clients_.size()];
     const auto Response = Server.exchange(
--- a/bench/load/loadrun.h
+++ b/bench/load/loadrun.h
@@ -6,7 +6,8 @@
 
 namespace laburnumspread::bench {
 
-/// Puts the load on and returns when all is answered or given up.
+/// Generates the load and returns when every caller has finished, or at the
+/// latest 10 s plus twice the request timeout after the planned end.
 LoadResult runLoad(boost::asio::io_context &Io, const LoadPlan &Plan);
 
 } // namespace laburnumspread::bench
--- a/bench/load/main.cpp
+++ b/bench/load/main.cpp
@@ -11,8 +11,10 @@
 #include <boost/json.hpp>
 #include <cxxopts.hpp>
 
-// laburnum-load: puts bounded load on entries and compares their answers with
-// the endpoints' own counts. Prints one JSON object.
+// laburnum-load: generates load on entries, limited in time and callers, and
+// compares their responses with the endpoints' own counts. Prints one JSON
+// object; with --platform, exits with 1 if responses and counts contradict each
+// other.
 
 namespace {
 
@@ -25,7 +27,8 @@
 constexpr std::size_t MaxCallers = 4096;
 
 cxxopts::Options makeOptions() {
-  cxxopts::Options Options("laburnum-load", "Bounded load for loopback");
+  cxxopts::Options Options("laburnum-load",
+                           "Load generator for entries on loopback");
   auto Text = [](const char *Default) {
     return cxxopts::value<std::string>()->default_value(Default);
   };
@@ -36,18 +39,25 @@
     return cxxopts::value<double>()->default_value(Default);
   };
   Options.add_options()("servers", "ip:port, ...", List("127.0.0.1:18101"))(
-      "direct", "to endpoints, past the entries")("pools", "", List("orders"))(
-      "teams", "", List("caterer-large"))(
-      "shares", "weights of the teams, for closeness", List(""))(
-      "callers", "", Number("16"))("rate", "requests a second, 0: unbounded",
-                                   Number("0"))("for-ms", "", Number("5000"))(
-      "work-ms", "", Number("5"))("timeout-ms", "", Number("5000"))(
-      "once", "part non-repeatable",
-      Number("0"))("again", "part of those sent again", Number("0"))(
-      "urgent", "", Number("0"))("batch", "", Number("0"))(
-      "rotate-ms", "", Number("0"))("seed", "", Number("1"))(
-      "withdrawals", "grant and withdraw a key so often",
-      Number("0"))("platform", "checks against it", Text(""))("help", "");
+      "direct", "send directly to endpoints, bypassing the entries")(
+      "pools", "names of the pools",
+      List("orders"))("teams", "names of the teams", List("caterer-large"))(
+      "shares", "share of each team, to report closeness to share",
+      List(""))("callers", "number of callers", Number("16"))(
+      "rate", "requests per second, 0: without pauses",
+      Number("0"))("for-ms", "length of the run",
+                   Number("5000"))("work-ms", "work per request", Number("5"))(
+      "timeout-ms", "request timeout", Number("5000"))(
+      "once", "fraction of requests that are non-repeatable", Number("0"))(
+      "again", "fraction of non-repeatable requests sent twice", Number("0"))(
+      "urgent", "fraction of requests of class urgent",
+      Number("0"))("batch", "fraction of requests of class batch", Number("0"))(
+      "rotate-ms", "length of each pool's peak, 0: no rotation",
+      Number("0"))("seed", "seed of all random choices", Number("1"))(
+      "withdrawals", "measure this many grants and withdrawals of a key",
+      Number("0"))("platform",
+                   "address of the platform stand-in to compare with",
+                   Text(""))("help", "print this help");
   return Options;
 }
 
@@ -148,7 +158,8 @@
     }
     const LoadPlan Plan = readPlan(Args);
     if (Plan.Servers_.empty() || Plan.Pools_.empty() || Plan.Teams_.empty()) {
-      std::cerr << "laburnum-load: needs servers, pools and teams\n";
+      std::cerr << "laburnum-load: at least one valid server, pool and team is "
+                   "required\n";
       return BadUsage;
     }
     if (const auto Rounds = Args["withdrawals"].as<double>(); Rounds > 0)
--- a/bench/load/report.cpp
+++ b/bench/load/report.cpp
@@ -49,8 +49,9 @@
   return Result;
 }
 
-/// Distance of the teams' parts from their shares, in percent of all work, in
-/// windows of one second: the mean over teams and windows, and the worst.
+/// Distance of each team's fraction of the work from its share, in percent of
+/// all work, in windows of one second: the mean over teams and windows, and the
+/// worst.
 json::object closeness(const LoadPlan &Plan, const LoadResult &Result) {
   if (Plan.Shares_.size() != Plan.Teams_.size())
     return {};
@@ -62,7 +63,8 @@
   for (const Sample &Item : Result.Samples_) {
     const auto At =
         (Item.SentAt_ + Item.Took_ - Result.Start_) / std::chrono::seconds(1);
-    // The first second fills the queues, the last empties them.
+    // Skip warm-up and the end: the queues fill in the first second and drain
+    // in the last.
     if (Item.Outcome_ == "ran" && At >= 1 && At <= Last)
       ++Windows[At][Item.Team_];
   }
--- a/bench/load/report.h
+++ b/bench/load/report.h
@@ -6,15 +6,14 @@
 
 namespace laburnumspread::bench {
 
-/// Counts, rates and percentiles of a run.
+/// Returns counts, rates and latency percentiles of a run.
 boost::json::object summarize(const LoadPlan &Plan, const LoadResult &Result);
 
-/// Compares what callers were told with what the endpoints have counted.
-/// Empty members mean that all is well:
+/// Compares the callers' responses with the endpoints' counts of starts by key.
+/// The arrays list violations, so they are empty after a correct run:
 ///   ranTwice: keys that were started more than once
-///   notRunButRan: keys that were refused as not-run, never told otherwise,
-///     and yet started
-///   ranButNot: keys that were answered as ran and never started
+///   notRunButRan: keys whose every response was not-run, but which were
+///   started ranButNot: keys with a ran response that were never started
 boost::json::object
 compareWithEndpoints(const LoadResult &Result,
                      const std::map<std::string, std::uint64_t> &Started);
--- a/bench/load/withdrawals.cpp
+++ b/bench/load/withdrawals.cpp
@@ -34,7 +34,9 @@
   return Response.ok() ? Response->Status_ : 0;
 }
 
-/// Milliseconds until each server's answer to the key is as wanted.
+/// Returns the milliseconds from \p Start until each server accepts the key, or
+/// refuses it if \p ExpectServed is false. A server that never does counts with
+/// the time when polling stopped.
 std::vector<double>
 measurePropagation(std::vector<std::unique_ptr<http::Client>> &Clients,
                    const std::string &Secret, bool ExpectServed,
--- a/bench/load/withdrawals.h
+++ b/bench/load/withdrawals.h
@@ -7,9 +7,9 @@
 
 namespace laburnumspread::bench {
 
-/// Grants a key and withdraws it again, \p Rounds times, by the first server,
-/// and measures how long it takes until every server serves and refuses it.
-/// Percentiles over servers and rounds, in milliseconds.
+/// Grants and withdraws a key \p Rounds times through the first server and
+/// measures how long each server takes to accept and to refuse it. Returns
+/// percentiles over servers and rounds, in milliseconds.
 boost::json::object
 runWithdrawals(boost::asio::io_context &Io,
                const std::vector<framework::http::Address> &Servers,
--- a/bench/micro/fixtures.h
+++ b/bench/micro/fixtures.h
@@ -13,7 +13,7 @@
 
 constexpr TimePoint Start{std::chrono::hours(480'000)};
 
-/// The size to design for, as the users' first letter gives it.
+/// The design size that the users gave.
 constexpr int DesignVms = 11'000;
 constexpr int DesignTeams = 430;
 constexpr int DesignPools = 54;
@@ -22,12 +22,13 @@
 membership::MemberId makeMemberId(int Index);
 membership::View makeView(int Members);
 
-/// \p Vms VMs in \p Pools pools, racks of 40, and \p Teams teams.
+/// Returns tables of \p Vms VMs in \p Pools pools and racks of 40, and of
+/// \p Teams teams.
 config::FleetTables makeFleet(int Vms, int Pools, int Teams);
 maintenance::VmList makeVmList(const config::FleetTables &Tables);
 
-/// A ledger with the limits of the fleet's teams and slots, at \p Members
-/// members.
+/// Returns a ledger with the limits of the fleet's teams and slots, in a view
+/// of \p Members members.
 limits::UnitLedger makeLedger(const config::FleetTables &Tables, int Members);
 
 } // namespace laburnumspread::bench
--- a/bench/micro/ledgerbench.cpp
+++ b/bench/micro/ledgerbench.cpp
@@ -9,7 +9,7 @@
 using namespace laburnumspread;
 using namespace laburnumspread::bench;
 
-/// One permit taken and given back, on a ledger of the design's teams.
+/// Acquires and releases one permit on a ledger with range(0) teams.
 void acquireRelease(benchmark::State &State) {
   const auto Tables = makeFleet(0, 1, static_cast<int>(State.range(0)));
   limits::UnitLedger Ledger = makeLedger(Tables, 7);
@@ -22,8 +22,8 @@
 }
 BENCHMARK(acquireRelease)->Arg(6)->Arg(DesignTeams);
 
-/// A view with one member more is taken: every unit's owner is worked out
-/// anew. Arguments: VMs, members.
+/// Adopts a view with one more member, which recomputes the owner of every
+/// unit. Arguments: VMs, members.
 void adoptView(benchmark::State &State) {
   const auto Vms = static_cast<int>(State.range(0));
   const auto Members = static_cast<int>(State.range(1));
@@ -45,7 +45,7 @@
     ->Args({DesignVms, 40})
     ->Unit(benchmark::kMillisecond);
 
-/// One key reserved at a home that holds range(0) others.
+/// Reserves one key at a home that holds range(0) others.
 void reserveKey(benchmark::State &State) {
   idempotency::ReplicaTable Homes(makeMemberId(0));
   const membership::View View = makeView(1);
--- a/bench/micro/placementbench.cpp
+++ b/bench/micro/placementbench.cpp
@@ -10,8 +10,8 @@
 using namespace laburnumspread;
 using namespace laburnumspread::bench;
 
-/// Who gets the next slot, among range(0) teams that wait with range(1)
-/// requests each.
+/// Selects the team that gets the next slot among range(0) teams with range(1)
+/// waiting requests each.
 void chooseTeam(benchmark::State &State) {
   const fleet::PoolName Pool("pool-0");
   sharing::FleetUsage Usage;
@@ -44,7 +44,7 @@
     ->Args({50, 10})
     ->Args({DesignTeams, 10});
 
-/// An endpoint for one request, among range(0) of one pool.
+/// Selects an endpoint for one request among range(0) endpoints of one pool.
 void chooseEndpoint(benchmark::State &State) {
   const auto Tables = makeFleet(static_cast<int>(State.range(0)), 1, 1);
   limits::UnitLedger Ledger = makeLedger(Tables, 7);
@@ -65,7 +65,7 @@
     ->Arg(2000)
     ->Arg(DesignVms);
 
-/// A wave of cancellations: range(0) requests wait, nine tenths are cancelled.
+/// Mass cancellation: nine tenths of range(0) waiting requests are cancelled.
 void cancellationWave(benchmark::State &State) {
   const std::int64_t Count = State.range(0);
   for (auto _ : State) {
--- a/bench/micro/plannerbench.cpp
+++ b/bench/micro/plannerbench.cpp
@@ -14,7 +14,7 @@
 using namespace laburnumspread;
 using namespace laburnumspread::bench;
 
-/// One tick of the wave planner with a wave under way over range(0) VMs.
+/// One tick of the wave planner during a wave over range(0) VMs.
 void waveTick(benchmark::State &State) {
   auto Tables = makeFleet(static_cast<int>(State.range(0)), DesignPools, 1);
   fleet::Wave Wave;
@@ -30,7 +30,7 @@
 BENCHMARK(waveTick)->Arg(50)->Arg(2000)->Arg(DesignVms)->Unit(
     benchmark::kMicrosecond);
 
-/// The same with nothing to do: no wave.
+/// One tick of the wave planner without a wave.
 void idleTick(benchmark::State &State) {
   const auto Tables =
       makeFleet(static_cast<int>(State.range(0)), DesignPools, 1);
@@ -43,7 +43,8 @@
 }
 BENCHMARK(idleTick)->Arg(50)->Arg(DesignVms)->Unit(benchmark::kMicrosecond);
 
-/// One tick of the move planner, half of the pools short.
+/// One tick of the move planner over range(0) VMs, with high demand in some
+/// pools and low demand in the others.
 void moveTick(benchmark::State &State) {
   const auto Tables =
       makeFleet(static_cast<int>(State.range(0)), DesignPools, 1);
@@ -60,7 +61,7 @@
 }
 BENCHMARK(moveTick)->Arg(50)->Arg(DesignVms)->Unit(benchmark::kMicrosecond);
 
-/// One changed value is taken into a configuration of range(0) VMs.
+/// Applies one changed value to a configuration of range(0) VMs.
 void applyChange(benchmark::State &State) {
   const auto Tables =
       makeFleet(static_cast<int>(State.range(0)), DesignPools, 1);
@@ -96,7 +97,7 @@
     ->Arg(DesignVms)
     ->Unit(benchmark::kMicrosecond);
 
-/// A heartbeat with range(0) rows of use, written and read.
+/// Encodes and decodes a heartbeat with range(0) rows of pool usage.
 void heartbeat(benchmark::State &State) {
   peers::Heartbeat Beat;
   for (std::int64_t I = 0; I < State.range(0); ++I)
--- a/bench/micro/recoverybench.cpp
+++ b/bench/micro/recoverybench.cpp
@@ -3,8 +3,8 @@
 
 #include <benchmark/benchmark.h>
 
-// What a new holder has to do before it answers: read the stored jobs, without
-// the time of the store and its links.
+// Time a new leader spends on decoding the stored jobs before it can serve. The
+// time of the store and the network is not included.
 
 namespace {
 
@@ -12,9 +12,9 @@
 
 const journal::CellKeys Keys("cell/");
 constexpr std::uint32_t TasksPerJob = 8;
-/// The platform's bound on what a caller hands in is eight times as much.
+/// An eighth of the platform's limit for a job's payload.
 constexpr std::size_t PayloadBytes = 500;
-/// A page of the store's lists holds about this much.
+/// Approximate size of one page of the store's range responses.
 constexpr double PageBytes = 1'000'000;
 
 jobs::Event makeJob(int Number) {
@@ -38,7 +38,7 @@
   return Item;
 }
 
-/// A table of open jobs with all their tasks at work.
+/// A table of open jobs with all their tasks running.
 jobs::CellTable makeTable(int Jobs) {
   jobs::CellTable Table;
   for (int Number = 0; Number < Jobs; ++Number) {
@@ -49,7 +49,7 @@
   return Table;
 }
 
-/// A snapshot of range(0) open jobs is read after a takeover.
+/// Decodes a snapshot of range(0) open jobs, as after a takeover.
 void recoverJobs(benchmark::State &State) {
   const jobs::CellTable Table = makeTable(static_cast<int>(State.range(0)));
   const auto Parts = jobs::encodeSnapshot(
@@ -74,7 +74,8 @@
     ->Arg(100'000)
     ->Unit(benchmark::kMillisecond);
 
-/// The same jobs from journal entries of one job each, as after a burst.
+/// Decodes and applies range(0) journal entries of one job each, as after a
+/// burst of submits.
 void recoverEntries(benchmark::State &State) {
   std::vector<std::string> Entries;
   std::size_t Bytes = 0;
--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -4,8 +4,8 @@
 
 #include <boost/json/serialize.hpp>
 
-// laburnum-policy: trials of policies beside baselines, in virtual time. Prints
-// one JSON object, the same on every machine.
+// laburnum-policy: simulates policies and their baselines in virtual time.
+// Prints one JSON object, which is the same on every machine.
 
 int main() {
   using namespace laburnumspread::bench;
--- a/bench/policy/moves.cpp
+++ b/bench/policy/moves.cpp
@@ -13,13 +13,14 @@
 
 constexpr Duration Tick = 100ms;
 constexpr Duration SimulatedTime = 240s;
-/// Part of the trial that is kept second by second, for plots.
+/// Length of the per-second series that is reported for plots.
 constexpr Duration SeriesTime = 60s;
 constexpr Duration RotationPeriod = 6s;
 constexpr double PeakFactor = 5;
 constexpr double TroughFactor = 0.05;
 constexpr std::uint32_t SlotsPerVm = 8;
-/// Mean slots wanted in each pool; the peak is above what its pool holds.
+/// Mean demand of each pool in slots; the peak exceeds the slots of its own
+/// VMs.
 constexpr double MeanSlots = 26;
 constexpr int WorkPoolCount = 4;
 constexpr int VmsPerPool = 10;
@@ -68,13 +69,13 @@
   }
 };
 
-/// Slots that a pool wants at a time.
+/// Demand of a pool at a point in time, in slots.
 double demandAt(int Pool, TimePoint Now) {
   const auto Peak = ((Now - Start) / RotationPeriod) % WorkPoolCount;
   return MeanSlots * (Pool == Peak ? PeakFactor : TroughFactor);
 }
 
-/// Runs a policy that gives the moves of a tick.
+/// Simulates a policy; \p Plan returns the moves for one tick.
 template <typename Policy> boost::json::object run(Policy &&Plan) {
   Fleet Vms;
   double Served = 0, Wanted = 0, Buffer = 0;
@@ -115,7 +116,7 @@
           {"series", std::move(Series)}};
 }
 
-/// Without hysteresis: lends and takes back at once.
+/// Baseline without hysteresis: lends and returns VMs immediately.
 std::vector<pools::Move> reactive(const pools::MoveInputs &Seen) {
   std::vector<pools::Move> Result;
   std::map<std::string, int> Slots;
--- a/bench/policy/shares.cpp
+++ b/bench/policy/shares.cpp
@@ -26,12 +26,12 @@
 struct TeamWorkload {
   TeamName Name_;
   std::uint32_t Share_;
-  /// Requests a second.
+  /// Requests per second.
   double Rate_;
 };
 
-/// Slots serve 1,920 requests a second; the teams ask for 2.3 times that, one
-/// of them for most of it, and one for less than its share.
+/// The slots serve 1,920 requests per second. The teams send 2.3 times as many:
+/// one team sends the most of them, and some send less than their share.
 const std::vector<TeamWorkload> &workloads() {
   static const std::vector<TeamWorkload> All = {
       {TeamName("flood"), 1, 2400}, {TeamName("large"), 4, 1000},
@@ -62,7 +62,7 @@
   return All;
 }
 
-/// Counts what was served and how long it waited.
+/// Records throughput by team and the waits of the small team.
 struct Outcome {
   std::vector<std::map<std::int64_t, double>> ServedBySecond_{
       workloads().size()};
@@ -75,7 +75,8 @@
           std::chrono::duration<double>(Now - ArrivedAt).count());
   }
 
-  /// What each team should get: its demand, or its share of what is left.
+  /// Fair rate of each team, in requests per second: its demand if that is
+  /// below its share of the remaining capacity, otherwise that share.
   static std::vector<double> fairRates() {
     std::vector<double> Fair(workloads().size(), 0);
     std::vector<bool> Capped(workloads().size(), false);
@@ -125,7 +126,8 @@
   }
 };
 
-/// Serves by one policy: \p Next gives the next arrival to serve, or none.
+/// Simulates one policy: its next() returns the next arrival to serve, or
+/// nothing.
 template <typename Policy> boost::json::object serve(Policy &&Chosen) {
   const auto All = generateArrivals();
   Outcome Result;
@@ -154,7 +156,8 @@
   return Result.report();
 }
 
-/// Bounded like ours, so that both drop what cannot be served.
+/// Limit of a queue, in requests. Both policies have the same, so that both
+/// drop what cannot be served.
 constexpr std::size_t QueueLimit = 2000;
 
 struct FirstComeFirstServed {
@@ -175,8 +178,8 @@
 
 struct ShareScheduling {
   sharing::FleetUsage Usage_;
-  // The limit holds for each team's queue here: one shared queue would be
-  // filled by the flood before the others could enter.
+  // The limit applies to each team's queue here: the overloading team would
+  // fill one shared queue before the others could enter.
   sharing::PoolQueue Queue_{QueueLimit * 6};
   std::map<sharing::TicketId, Arrival> Waiting_;
   std::uint64_t Id_ = 0;
--- a/bench/policy/wave.cpp
+++ b/bench/policy/wave.cpp
@@ -14,7 +14,7 @@
 constexpr Duration Tick = 500ms;
 constexpr Duration DrainTime = 4s;
 constexpr Duration BootTime = 60s;
-/// Three probes, one a tick.
+/// Three probes, one per tick.
 constexpr Duration ProbeTime = 1500ms;
 constexpr int Vms = 50;
 constexpr int Pools = 5;
@@ -22,8 +22,8 @@
 constexpr TimePoint Start{std::chrono::hours(1)};
 constexpr Duration MaxSimulatedTime = std::chrono::hours(3);
 
-/// Plays the platform to the planner's steps; returns seconds and the most VMs
-/// that were down at once.
+/// Simulates the platform's response to the planner's steps. Returns seconds
+/// and the largest number of VMs out of service at once.
 boost::json::object runWave(std::uint32_t MaximumBatch) {
   config::FleetTables Tables;
   maintenance::VmList List;
