--- a/soak/callers.h
+++ b/soak/callers.h
@@ -40,8 +40,13 @@
 
   CallerPtr makeCaller(std::uint64_t Seed) const;
   void submitLoop(const CallerPtr &Self);
+  /// Adds a record of a random job that has not been submitted yet.
   JobRecord &createJob(Caller &Self);
+  /// Retries until the job is accepted, or gives up after a random number of
+  /// attempts that were all refused.
   void submit(Caller &Self, JobRecord &Job);
+  /// Polls the job until it is done or its cancel is acknowledged, and cancels
+  /// some jobs after a random time.
   void pollUntilDone(Caller &Self, JobRecord &Job);
   void readState(Caller &Self, JobRecord &Job);
   void cancel(Caller &Self, JobRecord &Job);
--- a/soak/faultinjector.h
+++ b/soak/faultinjector.h
@@ -21,6 +21,8 @@
     std::deque<FaultProxy> FromPeers_;
   };
 
+  /// \p PlatformPorts holds the platform's port for each entry, behind the
+  /// proxy; \p Seed determines all random choices.
   FaultInjector(CellPlatform &Platform, EntryProcesses &Entries,
                 std::vector<std::uint16_t> PlatformPorts, ProxySet &Proxies,
                 std::size_t MachineCount, std::uint64_t Seed);
--- a/soak/faultproxy.h
+++ b/soak/faultproxy.h
@@ -21,6 +21,7 @@
   struct Directions {
     /// From the connecting client to the port behind the proxy.
     bool Upstream_ = false;
+    /// From the port behind the proxy back to the client.
     bool Downstream_ = false;
   };
 
