--- a/bench/micro/fixtures.h
+++ b/bench/micro/fixtures.h
@@ -13,21 +13,22 @@
 
 constexpr TimePoint Start{std::chrono::hours(480'000)};
 
-/// The size to design for, as the users' first letter gives it.
+/// The design size that the users gave.
 constexpr int DesignVms = 11'000;
 constexpr int DesignTeams = 430;
 constexpr int DesignPools = 54;
 constexpr int DesignZones = 6;
 
-membership::MemberId memberId(int Index);
-membership::View viewOf(int Members);
+membership::MemberId makeMemberId(int Index);
+membership::View makeView(int Members);
 
-/// \p Vms VMs in \p Pools pools, racks of 40, and \p Teams teams.
-config::FleetTables fleetOf(int Vms, int Pools, int Teams);
-maintenance::VmList listOf(const config::FleetTables &Tables);
+/// Returns tables of \p Vms VMs in \p Pools pools and racks of 40, and of
+/// \p Teams teams.
+config::FleetTables makeFleet(int Vms, int Pools, int Teams);
+maintenance::VmList makeVmList(const config::FleetTables &Tables);
 
-/// A ledger with the limits of the fleet's teams and slots, at \p Members
-/// members.
-limits::UnitLedger ledgerOf(const config::FleetTables &Tables, int Members);
+/// Returns a ledger with the limits of the fleet's teams and slots, in a view
+/// of \p Members members.
+limits::UnitLedger makeLedger(const config::FleetTables &Tables, int Members);
 
 } // namespace laburnumspread::bench
--- a/bench/micro/ledgerbench.cpp
+++ b/bench/micro/ledgerbench.cpp
@@ -9,10 +9,10 @@
 using namespace laburnumspread;
 using namespace laburnumspread::bench;
 
-/// One permit taken and given back, on a ledger of the design's teams.
+/// Acquires and releases one permit on a ledger with range(0) teams.
 void acquireRelease(benchmark::State &State) {
-  const auto Tables = fleetOf(0, 1, static_cast<int>(State.range(0)));
-  limits::UnitLedger Ledger = ledgerOf(Tables, 7);
+  const auto Tables = makeFleet(0, 1, static_cast<int>(State.range(0)));
+  limits::UnitLedger Ledger = makeLedger(Tables, 7);
   const auto Subject = *Ledger.find(entry::teamSubject("team-0"));
   for (auto _ : State) {
     const auto Got =
@@ -22,17 +22,17 @@
 }
 BENCHMARK(acquireRelease)->Arg(6)->Arg(DesignTeams);
 
-/// A view with one member more is taken: every unit's owner is worked out
-/// anew. Arguments: VMs, members.
+/// Adopts a view with one more member, which recomputes the owner of every
+/// unit. Arguments: VMs, members.
 void adoptView(benchmark::State &State) {
   const auto Vms = static_cast<int>(State.range(0));
   const auto Members = static_cast<int>(State.range(1));
-  const auto Tables = fleetOf(Vms, 1, DesignTeams * Vms / DesignVms + 1);
+  const auto Tables = makeFleet(Vms, 1, DesignTeams * Vms / DesignVms + 1);
   for (auto _ : State) {
     State.PauseTiming();
-    limits::UnitLedger Ledger = ledgerOf(Tables, Members);
-    membership::Member Joiner = viewOf(Members + 1).Members_.back();
-    const auto Next = *membership::withJoined(viewOf(Members), Joiner);
+    limits::UnitLedger Ledger = makeLedger(Tables, Members);
+    membership::Member Joiner = makeView(Members + 1).Members_.back();
+    const auto Next = *membership::withJoined(makeView(Members), Joiner);
     State.ResumeTiming();
     Ledger.adoptView(Next, Start);
   }
@@ -45,10 +45,10 @@
     ->Args({DesignVms, 40})
     ->Unit(benchmark::kMillisecond);
 
-/// One key reserved at a home that holds range(0) others.
+/// Reserves one key at a home that holds range(0) others.
 void reserveKey(benchmark::State &State) {
-  idempotency::ReplicaTable Homes(memberId(0));
-  const membership::View View = viewOf(1);
+  idempotency::ReplicaTable Homes(makeMemberId(0));
+  const membership::View View = makeView(1);
   Homes.adoptView(View, Start);
   idempotency::ReserveRequest Request;
   Request.MintedAt_ = Start;
@@ -57,7 +57,7 @@
   std::uint64_t Next = 0;
   auto Reserve = [&] {
     Request.Name_ = idempotency::RecordName("team-1/" + std::to_string(++Next));
-    Request.Attempt_ = {memberId(1), Next};
+    Request.Attempt_ = {makeMemberId(1), Next};
     benchmark::DoNotOptimize(Homes.reserve(Request, Start));
   };
   for (std::int64_t I = 0; I < State.range(0); ++I)
--- a/bench/micro/plannerbench.cpp
+++ b/bench/micro/plannerbench.cpp
@@ -14,13 +14,13 @@
 using namespace laburnumspread;
 using namespace laburnumspread::bench;
 
-/// One tick of the wave planner with a wave under way over range(0) VMs.
+/// One tick of the wave planner during a wave over range(0) VMs.
 void waveTick(benchmark::State &State) {
-  auto Tables = fleetOf(static_cast<int>(State.range(0)), DesignPools, 1);
+  auto Tables = makeFleet(static_cast<int>(State.range(0)), DesignPools, 1);
   fleet::Wave Wave;
   Wave.Metadata_.Name_ = "w";
   Tables.Waves_["w"] = Wave;
-  const auto List = listOf(Tables);
+  const auto List = makeVmList(Tables);
   for (auto _ : State)
     benchmark::DoNotOptimize(maintenance::planWaves(
         Tables, {List, [](const std::string &) { return false; },
@@ -30,10 +30,11 @@
 BENCHMARK(waveTick)->Arg(50)->Arg(2000)->Arg(DesignVms)->Unit(
     benchmark::kMicrosecond);
 
-/// The same with nothing to do: no wave.
+/// One tick of the wave planner without a wave.
 void idleTick(benchmark::State &State) {
-  const auto Tables = fleetOf(static_cast<int>(State.range(0)), DesignPools, 1);
-  const auto List = listOf(Tables);
+  const auto Tables =
+      makeFleet(static_cast<int>(State.range(0)), DesignPools, 1);
+  const auto List = makeVmList(Tables);
   for (auto _ : State)
     benchmark::DoNotOptimize(maintenance::planWaves(
         Tables, {List, [](const std::string &) { return false; },
@@ -42,10 +43,12 @@
 }
 BENCHMARK(idleTick)->Arg(50)->Arg(DesignVms)->Unit(benchmark::kMicrosecond);
 
-/// One tick of the move planner, half of the pools short.
+/// One tick of the move planner over range(0) VMs, with high demand in some
+/// pools and low demand in the others.
 void moveTick(benchmark::State &State) {
-  const auto Tables = fleetOf(static_cast<int>(State.range(0)), DesignPools, 1);
-  const auto List = listOf(Tables);
+  const auto Tables =
+      makeFleet(static_cast<int>(State.range(0)), DesignPools, 1);
+  const auto List = makeVmList(Tables);
   pools::MovePlanner Planner({});
   for (auto _ : State)
     benchmark::DoNotOptimize(
@@ -58,9 +61,10 @@
 }
 BENCHMARK(moveTick)->Arg(50)->Arg(DesignVms)->Unit(benchmark::kMicrosecond);
 
-/// One changed value is taken into a configuration of range(0) VMs.
+/// Applies one changed value to a configuration of range(0) VMs.
 void applyChange(benchmark::State &State) {
-  const auto Tables = fleetOf(static_cast<int>(State.range(0)), DesignPools, 1);
+  const auto Tables =
+      makeFleet(static_cast<int>(State.range(0)), DesignPools, 1);
   std::map<std::string, boost::json::object> Shards;
   for (const auto &[Name, Vm] : Tables.Vms_)
     Shards[config::shardKey("/l/", fleet::Kind::Vms, Name)][Name] =
@@ -93,7 +97,7 @@
     ->Arg(DesignVms)
     ->Unit(benchmark::kMicrosecond);
 
-/// A heartbeat with range(0) rows of use, written and read.
+/// Encodes and decodes a heartbeat with range(0) rows of pool usage.
 void heartbeat(benchmark::State &State) {
   peers::Heartbeat Beat;
   for (std::int64_t I = 0; I < State.range(0); ++I)
@@ -101,9 +105,9 @@
         {fleet::PoolName("pool-" + std::to_string(I % 54)),
          fleet::TeamName("team-" + std::to_string(I)), 3, 1});
   peers::Envelope Envelope;
-  Envelope.From_.Id_ = memberId(0);
+  Envelope.From_.Id_ = makeMemberId(0);
   Envelope.From_.Address_ = "10.0.0.1:7000";
-  Envelope.To_ = memberId(1);
+  Envelope.To_ = makeMemberId(1);
   Envelope.Message_ = Beat;
   std::size_t Bytes = 0;
   for (auto _ : State) {
--- a/bench/micro/recoverybench.cpp
+++ b/bench/micro/recoverybench.cpp
@@ -3,8 +3,8 @@
 
 #include <benchmark/benchmark.h>
 
-// What a new holder has to do before it answers: read the stored jobs, without
-// the time of the store and its links.
+// Time a new leader spends on decoding the stored jobs before it can serve. The
+// time of the store and the network is not included.
 
 namespace {
 
@@ -12,12 +12,12 @@
 
 const journal::CellKeys Keys("cell/");
 constexpr std::uint32_t TasksPerJob = 8;
-/// The platform's bound on what a caller hands in is eight times as much.
+/// An eighth of the platform's limit for a job's payload.
 constexpr std::size_t PayloadBytes = 500;
-/// A page of the store's lists holds about this much.
+/// Approximate size of one page of the store's range responses.
 constexpr double PageBytes = 1'000'000;
 
-jobs::Event jobOf(int Number) {
+jobs::Event makeJob(int Number) {
   jobs::JobAccepted Item;
   Item.Spec_.Id_ = jobs::JobId("job-" + std::to_string(Number));
   Item.Spec_.Queue_ = jobs::QueueName("queue-" + std::to_string(Number % 54));
@@ -30,7 +30,7 @@
   return Item;
 }
 
-jobs::Event runOf(int Number, std::uint32_t Task) {
+jobs::Event makeRun(int Number, std::uint32_t Task) {
   jobs::RunIntended Item;
   Item.Run_ = {{jobs::JobId("job-" + std::to_string(Number)), 0, 0, Task},
                jobs::RunNumber(1)};
@@ -38,20 +38,20 @@
   return Item;
 }
 
-/// A table of open jobs with all their tasks at work.
-jobs::CellTable tableOf(int Jobs) {
+/// A table of open jobs with all their tasks running.
+jobs::CellTable makeTable(int Jobs) {
   jobs::CellTable Table;
   for (int Number = 0; Number < Jobs; ++Number) {
-    Table.apply(jobOf(Number), {});
+    Table.apply(makeJob(Number), {});
     for (std::uint32_t Task = 0; Task < TasksPerJob; ++Task)
-      Table.apply(runOf(Number, Task), {});
+      Table.apply(makeRun(Number, Task), {});
   }
   return Table;
 }
 
-/// A snapshot of range(0) open jobs is read after a takeover.
+/// Decodes a snapshot of range(0) open jobs, as after a takeover.
 void recoverJobs(benchmark::State &State) {
-  const jobs::CellTable Table = tableOf(static_cast<int>(State.range(0)));
+  const jobs::CellTable Table = makeTable(static_cast<int>(State.range(0)));
   const auto Parts = jobs::encodeSnapshot(
       Table, journal::Journal<journal::FakeStore>::SnapshotPartBytes);
   std::size_t Bytes = 0;
@@ -74,14 +74,15 @@
     ->Arg(100'000)
     ->Unit(benchmark::kMillisecond);
 
-/// The same jobs from journal entries of one job each, as after a burst.
+/// Decodes and applies range(0) journal entries of one job each, as after a
+/// burst of submits.
 void recoverEntries(benchmark::State &State) {
   std::vector<std::string> Entries;
   std::size_t Bytes = 0;
   for (int Number = 0; Number < State.range(0); ++Number) {
-    std::vector<jobs::Event> Group{jobOf(Number)};
+    std::vector<jobs::Event> Group{makeJob(Number)};
     for (std::uint32_t Task = 0; Task < TasksPerJob; ++Task)
-      Group.push_back(runOf(Number, Task));
+      Group.push_back(makeRun(Number, Task));
     Entries.push_back(jobs::encodeGroup(Group, {}));
     Bytes += Entries.back().size();
   }
--- a/soak/callers.h
+++ b/soak/callers.h
@@ -1,58 +1,70 @@
 #pragma once
 
 #include "framework/http/httpclient.h"
-#include "soak/entries.h"
+#include "soak/entryprocesses.h"
 #include "soak/random.h"
 
 namespace laburnumspread::soak {
 
-/// Callers who hand jobs in, ask for their states and cancel some. Each keeps
-/// its connections until the entry's process is gone.
+/// Workload generator: simulated callers that submit jobs, poll their states
+/// and cancel some of them. Each caller keeps its connections open until the
+/// entry's process exits.
 class Callers {
 public:
-  Callers(boost::asio::io_context &Io, const Entries &Served, JobBook &Book,
-          Verdict &Found)
-      : Io_(Io), Served_(Served), Book_(Book), Found_(Found) {}
+  Callers(boost::asio::io_context &Io, const EntryProcesses &Entries,
+          JobRecords &Jobs, FindingLog &Findings)
+      : Io_(Io), Entries_(Entries), Jobs_(Jobs), FindingLog_(Findings) {}
 
+  /// Starts \p Count callers, whose random choices derive from \p Seed.
   void start(std::size_t Count, std::uint64_t Seed);
-  /// No more jobs are handed in; those that are there are followed further.
-  void finish() { Finishing_ = true; }
-  /// All entries answer.
-  bool served();
-  /// Asks for the state of each accepted job once more; returns what is wrong.
-  std::vector<std::string> readAll();
+  /// Stops submitting jobs; jobs already submitted are still polled.
+  void stopSubmitting() { Stopping_ = true; }
+  /// Whether every entry answers a request with status 200.
+  bool allEntriesServe();
+  /// Reads the state of every accepted job once and returns a message for each
+  /// state that does not match what its caller was told.
+  std::vector<std::string> checkFinalStates();
 
-  std::size_t cancels() const { return Cancels_; }
+  /// Number of cancels answered with status 200.
+  std::size_t acknowledgedCancels() const { return AcknowledgedCancels_; }
 
 private:
-  /// One caller: its draws and its connections.
+  /// One caller: its random numbers and a client for each entry.
   struct Caller {
-    explicit Caller(std::uint64_t Seed) : Draws_(Seed) {}
+    explicit Caller(std::uint64_t Seed) : Random_(Seed) {}
 
-    Random Draws_;
+    Random Random_;
     std::vector<std::unique_ptr<framework::http::Client>> Clients_;
   };
   using CallerPtr = std::shared_ptr<Caller>;
 
-  CallerPtr make(std::uint64_t Seed) const;
-  void run(const CallerPtr &Self);
-  JobRecord &describe(Caller &Self);
+  CallerPtr makeCaller(std::uint64_t Seed) const;
+  void submitLoop(const CallerPtr &Self);
+  /// Adds a record of a random job that has not been submitted yet.
+  JobRecord &createJob(Caller &Self);
+  /// Retries until the job is accepted, or gives up after a random number of
+  /// attempts that were all refused.
   void submit(Caller &Self, JobRecord &Job);
-  void follow(Caller &Self, JobRecord &Job);
-  void read(Caller &Self, JobRecord &Job);
+  /// Polls the job until it is done or its cancel is acknowledged, and cancels
+  /// some jobs after a random time.
+  void pollUntilDone(Caller &Self, JobRecord &Job);
+  void readState(Caller &Self, JobRecord &Job);
   void cancel(Caller &Self, JobRecord &Job);
-  /// Status of the answer, NotSent or NoAnswer.
+  /// Sends a request to a random entry. Returns the status of the response,
+  /// NotSent or NoAnswer.
   int call(Caller &Self, const std::string &Method, const std::string &Id,
-           const std::string &Body, std::string &Answer);
-  void expectKnown(const JobRecord &Job, int Status, const std::string &Call);
+           const std::string &Body, std::string &ResponseBody);
+  /// Reports a 4xx status other than 429 on a call about an accepted job.
+  void reportClientError(const JobRecord &Job, int Status,
+                         const std::string &Call);
 
   boost::asio::io_context &Io_;
-  const Entries &Served_;
-  JobBook &Book_;
-  Verdict &Found_;
-  bool Finishing_ = false;
+  const EntryProcesses &Entries_;
+  JobRecords &Jobs_;
+  FindingLog &FindingLog_;
+  bool Stopping_ = false;
   std::uint64_t NextJob_ = 1;
-  std::size_t Cancels_ = 0;
+  std::size_t AcknowledgedCancels_ = 0;
 };
 
 } // namespace laburnumspread::soak
