--- a/src/api/internal/callerapi.cpp
+++ b/src/api/internal/callerapi.cpp
@@ -163,9 +163,9 @@
   }
   const auto &Tables = Context_.State_.Config_.tables();
   // The lookup is by hash, so its timing reveals nothing about the secret.
-  const auto Known = Tables.KeyBySecret_.find(
+  const auto Known = Tables.KeyNameByHash_.find(
       framework::digest::sha256Hex(Field->substr(BearerPrefix.size())));
-  const fleet::Key *Key = Known == Tables.KeyBySecret_.end()
+  const fleet::Key *Key = Known == Tables.KeyNameByHash_.end()
                               ? nullptr
                               : Tables.find<fleet::Key>(Known->second);
   if (Key)
@@ -216,7 +216,7 @@
   const std::string Secret = framework::digest::sha256Hex(
       Call.head().Headers_.find("Authorization")->substr(BearerPrefix.size()));
   Context_.Runner_.run(Call, Request, [&State, Secret] {
-    return State.Config_.tables().KeyBySecret_.contains(Secret);
+    return State.Config_.tables().KeyNameByHash_.contains(Secret);
   });
 }
 
--- a/src/api/internal/httpapi.cpp
+++ b/src/api/internal/httpapi.cpp
@@ -45,7 +45,7 @@
         {"leaving", Member.Leaving_},
         {"inTouch",
          Member.Id_ == State.Self_.Id_ ||
-             State.Contact_.isPeerReachable(Member.Id_, State.now())}});
+             State.Reachability_.isPeerReachable(Member.Id_, State.now())}});
   return Rows;
 }
 
@@ -213,7 +213,7 @@
   Dump["started"] = State.Started_;
   Dump["leaving"] = State.Leaving_;
   Dump["fenced"] = State.fenced();
-  Dump["storeInTouch"] = State.Contact_.isStoreReachable(State.now());
+  Dump["storeInTouch"] = State.Reachability_.isStoreReachable(State.now());
   Dump["refusesStore"] = State.Config_.storeRolledBack();
   Dump["configRevision"] = State.Config_.revision().value();
   Dump["unreadableValues"] = State.Config_.unreadableValues();
@@ -222,9 +222,9 @@
                    {"settledThrough", State.View_.SettledThrough_.value()},
                    {"members", dumpMembers(State)}};
   Dump["stillHeld"] = State.Ledger_.releaseStatement().StillHeld_.size();
-  Dump["bucketsToCopy"] = State.Homes_.bucketsToCopy();
-  Dump["idempotencyRecords"] = State.Homes_.records();
-  Dump["blindBuckets"] = State.Homes_.bucketsWithLostRecords(State.now());
+  Dump["bucketsToCopy"] = State.Replicas_.bucketsToCopy();
+  Dump["idempotencyRecords"] = State.Replicas_.records();
+  Dump["blindBuckets"] = State.Replicas_.bucketsWithLostRecords(State.now());
   Dump["limits"] = dumpSubjects(State.Ledger_);
   Dump["unitsInUse"] = dumpUnits(State.Ledger_);
   Dump["endpoints"] = dumpEndpoints(State.Endpoints_);
--- a/src/api/internal/operatorapi.cpp
+++ b/src/api/internal/operatorapi.cpp
@@ -242,7 +242,7 @@
   // An entry that does not reach a majority of the view could accept a
   // withdrawal that the other entries never learn of while they still serve
   // requests; see ReachabilityTracker::fenced().
-  if (State.Started_ && State.Contact_.isMajorityReachable(
+  if (State.Started_ && State.Reachability_.isMajorityReachable(
                             State.View_, State.Self_.Id_, State.now()))
     return true;
   replyProblem(Call, ProblemCode::CutOff,
@@ -387,7 +387,7 @@
     const bool Self = Member.Id_ == State.Self_.Id_;
     const auto Row = State.Peers_.find(Member.Id_);
     const bool Reachable =
-        Self || State.Contact_.isPeerReachable(Member.Id_, State.now());
+        Self || State.Reachability_.isPeerReachable(Member.Id_, State.now());
     Revision AppliedRevision = Self ? State.Config_.revision() : Revision(0);
     if (Row != State.Peers_.end())
       AppliedRevision = Row->second.Last_.ConfigRevision_;
--- a/src/api/internal/validation.cpp
+++ b/src/api/internal/validation.cpp
@@ -73,8 +73,8 @@
   if (!Tables.find<fleet::Team>(Object.Spec_.Team_.str()))
     Errors.push_back(
         {"spec.team", "there is no team " + Object.Spec_.Team_.str()});
-  const auto Other = Tables.KeyBySecret_.find(Object.Spec_.Sha256_);
-  if (Other != Tables.KeyBySecret_.end() &&
+  const auto Other = Tables.KeyNameByHash_.find(Object.Spec_.Sha256_);
+  if (Other != Tables.KeyNameByHash_.end() &&
       Other->second != Object.Metadata_.Name_)
     Errors.push_back(
         {"spec.sha256", "is used by key " + Other->second + " already"});
--- a/src/capacity/internal/poolplanner.cpp
+++ b/src/capacity/internal/poolplanner.cpp
@@ -56,9 +56,10 @@
 class PlanningPass {
 public:
   PlanningPass(const std::map<MachineId, MachineView> &Machines,
-               const std::map<MachineId, PoolName> &Homes,
+               const std::map<MachineId, PoolName> &HomePools,
                const std::set<PoolName> &Standby, TimePoint Now)
-      : Machines_(Machines), Homes_(Homes), Standby_(Standby), Now_(Now) {
+      : Machines_(Machines), HomePools_(HomePools), Standby_(Standby),
+        Now_(Now) {
     for (const auto &[Id, Machine] : Machines)
       add(Machine);
   }
@@ -94,10 +95,10 @@
         if (Extra == 0)
           break;
         if (Ordered_.contains(Machine->Record_.Id_) ||
-            homeOf(*Machine) == Pool ||
+            homePoolOf(*Machine) == Pool ||
             Now_ - Machine->IdleSince_ < PoolPlanner::MinIdleBeforeReturn)
           continue;
-        addOrder(*Machine, homeOf(*Machine), MoveReason::Home);
+        addOrder(*Machine, homePoolOf(*Machine), MoveReason::Home);
         --Extra;
       }
     }
@@ -177,7 +178,7 @@
         continue;
       for (const MachineView *Machine : Row.IdleMachines_)
         if (!Ordered_.contains(Machine->Record_.Id_))
-          Donors.push_back({homeOf(*Machine) == Pool ? 2 : 0,
+          Donors.push_back({homePoolOf(*Machine) == Pool ? 2 : 0,
                             -static_cast<std::int64_t>(
                                 Row.surplus(PoolPlanner::SpareMachines)),
                             Machine});
@@ -201,13 +202,13 @@
     Ordered_.insert(Machine.Record_.Id_);
   }
 
-  PoolName homeOf(const MachineView &Machine) const {
-    const auto Found = Homes_.find(Machine.Record_.Id_);
-    return Found == Homes_.end() ? Machine.Record_.Pool_ : Found->second;
+  PoolName homePoolOf(const MachineView &Machine) const {
+    const auto Found = HomePools_.find(Machine.Record_.Id_);
+    return Found == HomePools_.end() ? Machine.Record_.Pool_ : Found->second;
   }
 
   const std::map<MachineId, MachineView> &Machines_;
-  const std::map<MachineId, PoolName> &Homes_;
+  const std::map<MachineId, PoolName> &HomePools_;
   const std::set<PoolName> &Standby_;
   TimePoint Now_;
   std::map<PoolName, PoolState> Pools_;
@@ -226,9 +227,9 @@
 std::vector<MoveOrder>
 PoolPlanner::plan(const std::map<MachineId, MachineView> &Machines,
                   const std::map<PoolName, PoolDemand> &Demand,
-                  const std::map<MachineId, PoolName> &Homes,
+                  const std::map<MachineId, PoolName> &HomePools,
                   const std::set<PoolName> &Standby, TimePoint Now) const {
-  PlanningPass Planned(Machines, Homes, Standby, Now);
+  PlanningPass Planned(Machines, HomePools, Standby, Now);
   for (const auto &[Pool, Wanted] : Demand)
     Planned.setDemand(Pool, Wanted);
   Planned.coverShortages();
--- a/src/capacity/poolplanner.h
+++ b/src/capacity/poolplanner.h
@@ -100,12 +100,13 @@
   static constexpr Duration MinIdleBeforeReturn =
       std::chrono::milliseconds(1500);
 
-  /// Returns the moves to order now. \p Homes names the home pool of machines;
-  /// one that is not listed is at home. Machines in the pools of \p Standby are
-  /// off, and these pools are never filled because of a shortage.
+  /// Returns the moves to order now. \p HomePools names the home pool of
+  /// machines; one that is not listed is in its home pool. Machines in the
+  /// pools of \p Standby are off, and these pools are never filled because of a
+  /// shortage.
   std::vector<MoveOrder> plan(const std::map<MachineId, MachineView> &Machines,
                               const std::map<PoolName, PoolDemand> &Demand,
-                              const std::map<MachineId, PoolName> &Homes,
+                              const std::map<MachineId, PoolName> &HomePools,
                               const std::set<PoolName> &Standby,
                               TimePoint Now) const;
 };
--- a/src/capacity/tests/poolplannertest.cpp
+++ b/src/capacity/tests/poolplannertest.cpp
@@ -21,17 +21,17 @@
     View.Record_.Capacity_ = {16000, 32768, 0};
     View.Usable_ = true;
     View.IdleSince_ = Start - IdleFor;
-    Homes_.try_emplace(View.Record_.Id_, Pool);
+    HomePools_.try_emplace(View.Record_.Id_, Pool);
     Machines_[View.Record_.Id_] = View;
   }
 
   std::vector<MoveOrder> plan() {
-    return PoolPlanner().plan(Machines_, Demand_, Homes_, {Off}, Start);
+    return PoolPlanner().plan(Machines_, Demand_, HomePools_, {Off}, Start);
   }
 
   std::map<MachineId, MachineView> Machines_;
   std::map<PoolName, PoolDemand> Demand_;
-  std::map<MachineId, PoolName> Homes_;
+  std::map<MachineId, PoolName> HomePools_;
 };
 
 } // namespace
@@ -198,7 +198,7 @@
   for (const char *Name : {"a", "b"})
     add(Name, Hot);
   add("c", Hot, 1s);
-  Homes_[MachineId("c")] = Cold;
+  HomePools_[MachineId("c")] = Cold;
   add("d", Cold);
   BOOST_TEST(plan().empty());
   Machines_[MachineId("c")].IdleSince_ = Start - 2s;
@@ -214,7 +214,7 @@
   for (const char *Name : {"a", "c"})
     add(Name, Hot);
   add("b", Hot, 1s);
-  Homes_[MachineId("b")] = Off;
+  HomePools_[MachineId("b")] = Off;
   BOOST_TEST(plan().empty());
   Machines_[MachineId("b")].IdleSince_ = Start - 10s;
   const auto Orders = plan();
--- a/src/capacity/tests/upkeepplannertest.cpp
+++ b/src/capacity/tests/upkeepplannertest.cpp
@@ -93,7 +93,7 @@
 // Guards against a service losing two of three tasks at once: a worker stops
 // responding, its last report still shows its task as running, and a wave stops
 // another one.
-BOOST_AUTO_TEST_CASE(TaskOnASilentWorkerCountsAsAway) {
+BOOST_AUTO_TEST_CASE(TaskOnASilentWorkerCountsAsUnavailable) {
   Table_.resetProgress(worker(2));
   Machines_[machine(2)].Usable_ = false;
   Waves_[WaveNumber(1)].Record_.Machines_ = {machine(0), machine(1)};
--- a/src/cell/cellservice.h
+++ b/src/cell/cellservice.h
@@ -276,7 +276,7 @@
         continue;
       }
       for (const auto &[Incarnation, Row] : T->Workers_)
-        Row->Distrust_ *= DistrustDecay;
+        Row->FailureScore_ *= FailureScoreDecay;
       T->Table_.forgetEnded(now() - Bounds_.StatusRetention_);
       loseRunsOnUnknownWorkers(*T);
       if (!T->Table_.open().empty())
@@ -329,7 +329,7 @@
       Workers.push_back(
           {&Row->Record_,
            Use ? Row->Record_.Capacity_ - Use->Used_ : Row->Record_.Capacity_,
-           Row->Distrust_ < MinDistrust ? 0 : Row->Distrust_});
+           Row->FailureScore_ < MinFailureScore ? 0 : Row->FailureScore_});
     }
     const scheduling::Scheduler Planner(T.Table_, T.Config_, T.Estimates_,
                                         T.Advice_);
@@ -388,10 +388,10 @@
   /// question.
   static constexpr std::size_t MaxWorkersPerQuestion = 30;
   static constexpr std::uint32_t DefaultMaxAttempts = 3;
-  static constexpr double MinDistrust = 0.1;
+  static constexpr double MinFailureScore = 0.1;
   /// Factor applied to the failure scores of all workers at each tick; halves
   /// them in 4 s.
-  static constexpr double DistrustDecay = 0.983;
+  static constexpr double FailureScoreDecay = 0.983;
 
   Store &Store_;
   Client &Client_;
--- a/src/cell/celltypes.h
+++ b/src/cell/celltypes.h
@@ -83,7 +83,7 @@
   /// The worker is unhealthy and did nothing.
   Unhealthy,
   /// The process at the worker's address is another incarnation of the worker.
-  OtherLife,
+  OtherIncarnation,
   /// No reply: the order may have been executed, or may still be executed
   /// later.
   Unknown,
--- a/src/cell/internal/celltypes.cpp
+++ b/src/cell/internal/celltypes.cpp
@@ -20,7 +20,7 @@
     return "malformed";
   case OrderResult::Unhealthy:
     return "unhealthy";
-  case OrderResult::OtherLife:
+  case OrderResult::OtherIncarnation:
     return "other_life";
   case OrderResult::Unknown:
     return "unknown";
--- a/src/cell/internal/machinetable.cpp
+++ b/src/cell/internal/machinetable.cpp
@@ -10,11 +10,11 @@
     capacity::MachineView &View = Views_[Item.Id_];
     if (View.Record_.Id_.empty())
       View.IdleSince_ = Now;
-    const Resources Room = View.Record_.Capacity_;
+    const Resources KnownCapacity = View.Record_.Capacity_;
     View.Record_ = Item;
     applyOrderBlock(View);
     if (Item.Capacity_ == Resources())
-      View.Record_.Capacity_ = Room;
+      View.Record_.Capacity_ = KnownCapacity;
     HomePools_.try_emplace(Item.Id_, Item.Pool_);
     const auto Found = Orders_.find(Item.Id_);
     if (Found != Orders_.end() && Found->second.Acknowledged_ &&
--- a/src/cell/runstopper.h
+++ b/src/cell/runstopper.h
@@ -109,11 +109,11 @@
       Tracker_->stopAnswered(Run, now());
     // A start in transit to the former incarnation may still be executed by the
     // new one, whose reports settle it.
-    if (Reply.Result_ == OrderResult::OtherLife)
+    if (Reply.Result_ == OrderResult::OtherIncarnation)
       Term_->markIncarnationEnded(*Row,
                                   "another incarnation of the worker replied");
     return Reply.Result_ == OrderResult::Done ||
-           Reply.Result_ == OrderResult::OtherLife;
+           Reply.Result_ == OrderResult::OtherIncarnation;
   }
 
   /// Logs once that a run is still reported long after it should be gone.
--- a/src/cell/tests/modelworker.h
+++ b/src/cell/tests/modelworker.h
@@ -98,8 +98,8 @@
     Token_ = Order.Token_;
     if (Order.DeadlineMs_ > 0)
       extend(Order.DeadlineMs_, Now);
-    Reply.Result_ =
-        StartedMs == StartedMs_ ? OrderResult::Done : OrderResult::OtherLife;
+    Reply.Result_ = StartedMs == StartedMs_ ? OrderResult::Done
+                                            : OrderResult::OtherIncarnation;
     std::erase_if(Ends_, [&](const EndReport &Row) {
       return Row.Number_ <= Order.AcknowledgedEnds_;
     });
--- a/src/cell/tests/runmodel.h
+++ b/src/cell/tests/runmodel.h
@@ -42,7 +42,7 @@
 constexpr auto QuietTick = 50ms;
 constexpr int MaxTicksToList = 20;
 /// Each task takes a whole worker.
-const Resources Room{1000, 0, 0};
+const Resources WorkerCapacity{1000, 0, 0};
 
 struct Journal {
   FencingToken Head_;
@@ -317,7 +317,7 @@
       return;
     const jobs::WorkerUsage *Use =
         Leader->Table_.usageOf(Row->Record_.Incarnation_);
-    if (Use && !(Use->Used_ + Room).fitsInto(Room))
+    if (Use && !(Use->Used_ + WorkerCapacity).fitsInto(WorkerCapacity))
       return;
     if (Leader->Table_.open().size() < OpenJobs && !acceptJob(*Leader))
       return;
@@ -337,7 +337,7 @@
     Item.Spec_.Id_ = JobId("j" + std::to_string(Leader.Table_.jobs().size()));
     Item.Spec_.Steps_.resize(1);
     Item.Spec_.Steps_[0].Count_ = TaskCount;
-    Item.Spec_.Steps_[0].PerTask_ = Room;
+    Item.Spec_.Steps_[0].PerTask_ = WorkerCapacity;
     return commit(Leader, {Item});
   }
 
@@ -574,7 +574,7 @@
     ModelLeader &Leader = *From;
     WorkerRow &Row = *Item.Row_;
     const HoldReply &Reply = Item.Report_;
-    if (Reply.Result_ == OrderResult::OtherLife) {
+    if (Reply.Result_ == OrderResult::OtherIncarnation) {
       endIncarnation(Leader, Row);
       return;
     }
--- a/src/cell/tests/runmodeltest.cpp
+++ b/src/cell/tests/runmodeltest.cpp
@@ -10,16 +10,18 @@
 
 /// Steps of the adversary: choices with their details.
 using Schedule = std::vector<std::pair<int, int>>;
-constexpr int LongestSchedule = 400;
+constexpr int MaxScheduleLength = 400;
 
 rc::Gen<int> anyDetail() {
-  return rc::gen::resize(LongestSchedule, rc::gen::inRange(0, Model::Details));
+  return rc::gen::resize(MaxScheduleLength,
+                         rc::gen::inRange(0, Model::Details));
 }
 
 rc::Gen<Schedule> anySchedule() {
   return rc::gen::resize(
-      LongestSchedule, rc::gen::container<Schedule>(rc::gen::pair(
-                           rc::gen::inRange(0, Model::Choices), anyDetail())));
+      MaxScheduleLength,
+      rc::gen::container<Schedule>(
+          rc::gen::pair(rc::gen::inRange(0, Model::Choices), anyDetail())));
 }
 
 } // namespace
--- a/src/cell/workersessions.h
+++ b/src/cell/workersessions.h
@@ -32,7 +32,7 @@
   static constexpr Duration IdleCheckInterval = std::chrono::milliseconds(500);
   /// As many attempts as fit into StartWindow.
   static constexpr int StartAttempts = 6;
-  static constexpr double DistrustPerFailure = 1;
+  static constexpr double FailureScoreIncrement = 1;
   /// Logged for a worker that has not replied to this leader yet.
   static constexpr std::int64_t NeverAnswered = -1;
 
@@ -150,7 +150,7 @@
       return;
     if (Reply.Result_ == OrderResult::Done)
       return handleReport(Row, Reply, Order, SentAt);
-    if (Reply.Result_ == OrderResult::OtherLife)
+    if (Reply.Result_ == OrderResult::OtherIncarnation)
       return endIncarnation(Row, "another incarnation of the worker replied",
                             true);
     if (Reply.Result_ == OrderResult::Fenced && Order.Token_ == Term_->Token_)
@@ -249,7 +249,7 @@
   /// of a run.
   void learnFromEnd(WorkerRow &Row, const EndReport &Item) {
     if (Item.Kind_ == jobs::EndKind::Failed)
-      Row.Distrust_ += DistrustPerFailure;
+      Row.FailureScore_ += FailureScoreIncrement;
     if (Item.Kind_ != jobs::EndKind::Done)
       return;
     const jobs::JobRow *Job = Term_->Table_.find(Item.Run_.Task_.Job_);
@@ -405,14 +405,14 @@
     logStart(Row, Order, Reply, Attempt);
     const auto Ended =
         Tracker_->startAnswered(Run, Reply.Result_, Attempt, now());
-    if (Reply.Result_ == OrderResult::OtherLife)
+    if (Reply.Result_ == OrderResult::OtherIncarnation)
       endIncarnation(Row, "another incarnation of the worker replied", true);
     const scheduling::StepName Step{Run.Task_.Job_, Run.Task_.Occurrence_,
                                     Run.Task_.Step_};
     if (Reply.Result_ == OrderResult::BadTicket)
       Term_->Advice_.recordRefusal(Step, Row.Record_.Incarnation_.Id_);
     if (Reply.Result_ == OrderResult::NoRoom)
-      Row.Distrust_ += DistrustPerFailure;
+      Row.FailureScore_ += FailureScoreIncrement;
     if (Ended)
       endRun(*Ended);
     return Reply.Result_ != OrderResult::Unknown;
--- a/src/cell/workertable.h
+++ b/src/cell/workertable.h
@@ -88,7 +88,7 @@
   /// Controls the pace of the filler tasks on this worker.
   scheduling::Pacer Pace_;
   /// Score of the runs that failed or hung on this worker; decays over time.
-  double Distrust_ = 0;
+  double FailureScore_ = 0;
   framework::fibers::WaiterPtr Wake_;
   framework::clock::AnswerTime Answers_{MinAnswerTimeout, MaxAnswerTimeout};
 
--- a/src/config/fleettables.h
+++ b/src/config/fleettables.h
@@ -18,7 +18,7 @@
   Table<fleet::Key> Keys_;
   Table<fleet::Wave> Waves_;
   /// Names of access keys by the SHA-256 of their secret.
-  std::map<std::string, std::string, std::less<>> KeyBySecret_;
+  std::map<std::string, std::string, std::less<>> KeyNameByHash_;
 
   template <typename T> Table<T> &table();
   template <typename T> const Table<T> &table() const {
--- a/src/config/internal/configtable.cpp
+++ b/src/config/internal/configtable.cpp
@@ -24,14 +24,14 @@
 void indexKeyHash(FleetTables &, const std::string &, const auto &) {}
 void indexKeyHash(FleetTables &Tables, const std::string &Name,
                   const fleet::Key &Object) {
-  Tables.KeyBySecret_[Object.Spec_.Sha256_] = Name;
+  Tables.KeyNameByHash_[Object.Spec_.Sha256_] = Name;
 }
 
 void unindexKeyHash(FleetTables &, const auto &) {}
 void unindexKeyHash(FleetTables &Tables, const fleet::Key &Object) {
-  const auto At = Tables.KeyBySecret_.find(Object.Spec_.Sha256_);
-  if (At != Tables.KeyBySecret_.end() && At->second == Object.Metadata_.Name_)
-    Tables.KeyBySecret_.erase(At);
+  const auto At = Tables.KeyNameByHash_.find(Object.Spec_.Sha256_);
+  if (At != Tables.KeyNameByHash_.end() && At->second == Object.Metadata_.Name_)
+    Tables.KeyNameByHash_.erase(At);
 }
 
 template <typename T> std::string textOf(const T &Object) {
--- a/src/entry/entrystate.h
+++ b/src/entry/entrystate.h
@@ -40,8 +40,8 @@
 struct EntryState {
   EntryState(EntrySettings Settings, membership::Member Self)
       : Settings_(std::move(Settings)), Self_(std::move(Self)),
-        Config_(Settings_.StorePrefix_), Ledger_(Self_.Id_), Homes_(Self_.Id_) {
-  }
+        Config_(Settings_.StorePrefix_), Ledger_(Self_.Id_),
+        Replicas_(Self_.Id_) {}
 
   EntrySettings Settings_;
   membership::Member Self_;
@@ -50,9 +50,9 @@
   membership::View View_;
   /// Store revision of the write that produced View_.
   fleet::Revision ViewRevision_;
-  membership::ReachabilityTracker Contact_;
+  membership::ReachabilityTracker Reachability_;
   limits::UnitLedger Ledger_;
-  idempotency::ReplicaTable Homes_;
+  idempotency::ReplicaTable Replicas_;
   routing::EndpointTable Endpoints_;
   routing::RunTimeEstimates Estimates_;
   sharing::FleetUsage Usage_;
@@ -66,7 +66,7 @@
 
   TimePoint now() const { return framework::clock::SystemClock().now(); }
   bool isMember() const { return View_.find(Self_.Id_) != nullptr; }
-  bool fenced() const { return Contact_.fenced(View_, Self_.Id_, now()); }
+  bool fenced() const { return Reachability_.fenced(View_, Self_.Id_, now()); }
 
   /// Members of the view other than this entry.
   std::vector<membership::Member> otherMembers() const;
--- a/src/entry/internal/configservice.cpp
+++ b/src/entry/internal/configservice.cpp
@@ -70,7 +70,7 @@
       Store_.range(State_.Settings_.StorePrefix_, Since, SentAt + PollTimeout);
   if (!Read.ok() || rejectsStoreRevision(Read->StoreRevision_))
     return false;
-  State_.Contact_.recordStoreReply(SentAt);
+  State_.Reachability_.recordStoreReply(SentAt);
   applyItems(Read->Items_, Read->StoreRevision_);
   return true;
 }
--- a/src/entry/internal/membershipservice.cpp
+++ b/src/entry/internal/membershipservice.cpp
@@ -54,7 +54,7 @@
         .field("members", static_cast<std::uint64_t>(Next.Members_.size()));
   State_.View_ = Next;
   State_.Ledger_.adoptView(Next, State_.now());
-  State_.Homes_.adoptView(Next, State_.now());
+  State_.Replicas_.adoptView(Next, State_.now());
 }
 
 // Heartbeats
@@ -66,7 +66,7 @@
   Beat.ConfigRevision_ = State_.Config_.revision();
   if (!State_.View_.settled()) {
     Beat.StillHeld_ = State_.Ledger_.releaseStatement().StillHeld_;
-    Beat.BucketsToCopy_ = State_.Homes_.bucketsToCopy();
+    Beat.BucketsToCopy_ = State_.Replicas_.bucketsToCopy();
   }
   for (const auto &[Name, Vm] : State_.Config_.tables().Vms_) {
     if (Vm.Status_.Phase_ == fleet::VmPhase::Active && !Vm.Spec_.Drain_)
@@ -76,7 +76,7 @@
     if (Busy > 0)
       Beat.LeavingVms_.push_back({fleet::VmName(Name), Busy});
   }
-  Beat.StoreInTouch_ = State_.Contact_.isStoreReachable(State_.now());
+  Beat.StoreInTouch_ = State_.Reachability_.isStoreReachable(State_.now());
   Beat.Ready_ = State_.Started_ && !State_.Leaving_;
   return Beat;
 }
@@ -130,7 +130,7 @@
   Row.SentAt_ = From.SentAt_;
   Row.HeardAt_ = State_.now();
   if (framework::clock::toMicros(Beat.EchoedSentAt_) != 0)
-    State_.Contact_.recordPeerReply(From.Id_, Beat.EchoedSentAt_);
+    State_.Reachability_.recordPeerReply(From.Id_, Beat.EchoedSentAt_);
   State_.Ledger_.applyReleaseStatement({From.Id_, Beat.View_, Beat.StillHeld_});
   std::vector<sharing::FleetUsage::Row> Use;
   for (const peers::PoolUsage &Item : Beat.PoolUsage_)
@@ -235,7 +235,7 @@
   std::vector<membership::MemberProgress> Result;
   Result.push_back({State_.Self_.Id_, State_.Ledger_.view(),
                     State_.Ledger_.releaseStatement().StillHeld_.size(),
-                    State_.Homes_.bucketsToCopy()});
+                    State_.Replicas_.bucketsToCopy()});
   for (const auto &[Id, Row] : State_.Peers_)
     Result.push_back({Id, Row.Last_.View_, Row.Last_.StillHeld_.size(),
                       Row.Last_.BucketsToCopy_});
@@ -249,7 +249,7 @@
   // disagree on which one that is, the compare-and-swap lets one succeed.
   for (const Member &Item : State_.View_.Members_)
     if (Item.Id_ < State_.Self_.Id_ &&
-        State_.Contact_.isPeerReachable(Item.Id_, State_.now()))
+        State_.Reachability_.isPeerReachable(Item.Id_, State_.now()))
       return;
   const auto Known = progress();
   if (!membership::canSettle(State_.View_, Known, State_.now()))
@@ -260,7 +260,7 @@
 }
 
 void MembershipService::reconcileMembership() {
-  if (!State_.Contact_.isStoreReachable(State_.now()))
+  if (!State_.Reachability_.isStoreReachable(State_.now()))
     return;
   if (State_.ViewRevision_.value() == 0)
     createInitialView().IgnoreError();
@@ -283,7 +283,7 @@
   // this VM removes this one; a short outage is waited for.
   const TimePoint OutageDeadline = State_.now() + StoreOutageTolerance;
   while (State_.isMember() && State_.now() < Deadline &&
-         (State_.Contact_.isStoreReachable(State_.now()) ||
+         (State_.Reachability_.isStoreReachable(State_.now()) ||
           State_.now() < OutageDeadline)) {
     const Member *Self = State_.View_.find(State_.Self_.Id_);
     if (!Self->Leaving_)
--- a/src/entry/internal/placementloans.cpp
+++ b/src/entry/internal/placementloans.cpp
@@ -10,7 +10,7 @@
 using fleet::PoolName;
 using fleet::TeamName;
 using routing::EndpointIndex;
-using sharing::BorrowRequest;
+using sharing::PendingBorrowRequest;
 using namespace std::chrono_literals;
 
 namespace {
@@ -41,7 +41,7 @@
 // Lending
 
 bool PlacementService::grantSlotLoan(const PoolName &Pool,
-                                     const BorrowRequest &Request) {
+                                     const PendingBorrowRequest &Request) {
   for (EndpointIndex Index : State_.Endpoints_.inPool(Pool)) {
     const auto &Row = State_.Endpoints_.at(Index);
     if (!Row.Open_ || State_.Ledger_.freeOwnedUnits(Row.Subject_) == 0)
@@ -61,7 +61,7 @@
   const auto Subject = State_.Ledger_.find(teamSubject(Team.str()));
   if (Requests == TeamBorrowRequests_.end() || !Subject)
     return;
-  for (BorrowRequest &Request : Requests->second) {
+  for (PendingBorrowRequest &Request : Requests->second) {
     if (Request.ExpiresAt_ <= State_.now() || Request.Count_ == 0)
       continue;
     const auto Loans = State_.Ledger_.lend(*Subject, Request.From_,
@@ -73,7 +73,7 @@
         .add(Loans.size());
     State_.Send_(Request.From_, peers::LoanGrant{Loans, PoolName(), Team});
   }
-  std::erase_if(Requests->second, [&](const BorrowRequest &Request) {
+  std::erase_if(Requests->second, [&](const PendingBorrowRequest &Request) {
     return Request.Count_ == 0 || Request.ExpiresAt_ <= State_.now();
   });
   if (Requests->second.empty())
@@ -85,7 +85,7 @@
   if (State_.fenced())
     return;
   const TimePoint Now = State_.now();
-  BorrowRequest Request{
+  PendingBorrowRequest Request{
       From.Id_,
       Message.Team_,
       Message.Class_,
@@ -99,7 +99,7 @@
     return dispatchWaiting(Message.Pool_);
   }
   auto &Requests = TeamBorrowRequests_[Message.Team_];
-  std::erase_if(Requests, [&](const BorrowRequest &Old) {
+  std::erase_if(Requests, [&](const PendingBorrowRequest &Old) {
     return Old.From_ == From.Id_;
   });
   Requests.push_back(Request);
--- a/src/entry/internal/placementservice.cpp
+++ b/src/entry/internal/placementservice.cpp
@@ -10,7 +10,7 @@
 using fleet::TeamName;
 using framework::fibers::sleepFor;
 using routing::EndpointIndex;
-using sharing::BorrowRequest;
+using sharing::PendingBorrowRequest;
 using sharing::Ticket;
 using namespace std::chrono_literals;
 
@@ -164,7 +164,7 @@
     if (const auto *Chosen = std::get_if<Ticket>(&Next)) {
       if (!tryStart(Pool, *Chosen, Blocked))
         break;
-    } else if (const auto *Request = std::get_if<BorrowRequest>(&Next)) {
+    } else if (const auto *Request = std::get_if<PendingBorrowRequest>(&Next)) {
       if (!grantSlotLoan(Pool, *Request))
         break;
     } else {
@@ -302,7 +302,7 @@
 void PlacementService::tick() {
   const TimePoint Now = State_.now();
   State_.Ledger_.tick(Now);
-  State_.Homes_.tick(Now);
+  State_.Replicas_.tick(Now);
   State_.Endpoints_.tick(Now);
   dispatchAllPools();
   requestPermitLoans();
--- a/src/entry/internal/plannerservice.cpp
+++ b/src/entry/internal/plannerservice.cpp
@@ -293,7 +293,7 @@
       MissingListCounts_[Member.Id_] = 0;
       continue;
     }
-    if (State_.Contact_.isPeerReachable(Member.Id_, State_.now()))
+    if (State_.Reachability_.isPeerReachable(Member.Id_, State_.now()))
       continue;
     // Only VMs that the platform has listed before count as missing.
     const auto Row = MissingListCounts_.find(Member.Id_);
--- a/src/entry/internal/requestrunner.cpp
+++ b/src/entry/internal/requestrunner.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t ReadChunkBytes = 16 * 1024;
 /// Maximum number of endpoints tried for one request.
 constexpr std::size_t MaxAttempts = 6;
-constexpr Duration HomesUnreachableRetryAfter = std::chrono::seconds(2);
+constexpr Duration ReplicasUnreachableRetryAfter = std::chrono::seconds(2);
 
 std::int64_t retryAfterSeconds(Duration Time) {
   return std::chrono::ceil<std::chrono::seconds>(Time).count();
@@ -172,9 +172,9 @@
   case ReservationOutcome::Retry:
     break;
   }
-  fail(Active, {ProblemCode::HomesUnreachable,
+  fail(Active, {ProblemCode::ReplicasUnreachable,
                 "a majority of the entries that store this key is unreachable",
-                fleet::Outcome::NotRun, HomesUnreachableRetryAfter});
+                fleet::Outcome::NotRun, ReplicasUnreachableRetryAfter});
   return false;
 }
 
--- a/src/entry/internal/requesttypes.cpp
+++ b/src/entry/internal/requesttypes.cpp
@@ -40,7 +40,7 @@
     CodeRow{ProblemCode::CutOff, "cut-off", 503},
     CodeRow{ProblemCode::Starting, "starting", 503},
     CodeRow{ProblemCode::Leaving, "leaving", 503},
-    CodeRow{ProblemCode::HomesUnreachable, "homes-unreachable", 503},
+    CodeRow{ProblemCode::ReplicasUnreachable, "homes-unreachable", 503},
     CodeRow{ProblemCode::InProgress, "in-progress", 409},
     CodeRow{ProblemCode::OutcomeUnknown, "outcome-unknown", 409},
     CodeRow{ProblemCode::AlreadyRan, "already-ran", 409},
--- a/src/entry/internal/reservationservice.cpp
+++ b/src/entry/internal/reservationservice.cpp
@@ -29,7 +29,7 @@
 
 void ReservationService::copyLoop() {
   while (true) {
-    for (const auto &Wanted : State_.Homes_.missingCopies())
+    for (const auto &Wanted : State_.Replicas_.missingCopies())
       State_.Send_(Wanted.Source_, Wanted);
     sleepFor(CopyInterval);
   }
@@ -128,7 +128,7 @@
 
 void ReservationService::handle(const peers::Sender &From,
                                 const ReserveRequest &Request) {
-  const auto Reply = State_.Homes_.reserve(Request, State_.now());
+  const auto Reply = State_.Replicas_.reserve(Request, State_.now());
   if (From.Id_ == State_.Self_.Id_)
     handle(From, Reply);
   else
@@ -149,22 +149,22 @@
 
 void ReservationService::handle(const peers::Sender &,
                                 const peers::Finish &Final) {
-  State_.Homes_.finish(Final.Record_.Name_, Final.Record_.Record_);
+  State_.Replicas_.finish(Final.Record_.Name_, Final.Record_.Record_);
 }
 
 void ReservationService::handle(const peers::Sender &,
                                 const peers::Abandon &Message) {
-  State_.Homes_.abandon(Message.Name_, Message.Attempt_);
+  State_.Replicas_.abandon(Message.Name_, Message.Attempt_);
 }
 
 void ReservationService::handle(const peers::Sender &From,
                                 const idempotency::CopyRequest &Request) {
-  State_.Send_(From.Id_, State_.Homes_.handleCopyRequest(Request));
+  State_.Send_(From.Id_, State_.Replicas_.handleCopyRequest(Request));
 }
 
 void ReservationService::handle(const peers::Sender &,
                                 const idempotency::CopyReply &Reply) {
-  State_.Homes_.applyCopyReply(Reply, State_.now());
+  State_.Replicas_.applyCopyReply(Reply, State_.now());
 }
 
 } // namespace laburnumspread::entry
--- a/src/entry/placementservice.h
+++ b/src/entry/placementservice.h
@@ -88,7 +88,7 @@
   bool tryStart(const fleet::PoolName &Pool, const sharing::Ticket &Ticket,
                 std::set<fleet::TeamName> &Blocked);
   bool grantSlotLoan(const fleet::PoolName &Pool,
-                     const sharing::BorrowRequest &Request);
+                     const sharing::PendingBorrowRequest &Request);
   void removeFromQueue(const WaitingRequestPtr &Item);
   void rejectWaiting(const WaitingRequestPtr &Item, Problem Reason);
 
@@ -109,7 +109,7 @@
   std::mt19937_64 Random_;
   std::map<fleet::PoolName, PoolState> Pools_;
   std::map<sharing::TicketId, WaitingRequestPtr> Tickets_;
-  std::map<fleet::TeamName, std::vector<sharing::BorrowRequest>>
+  std::map<fleet::TeamName, std::vector<sharing::PendingBorrowRequest>>
       TeamBorrowRequests_;
   /// Teams whose requests wait for a permit, and when a borrow request for one
   /// was last sent.
--- a/src/entry/requesttypes.h
+++ b/src/entry/requesttypes.h
@@ -45,7 +45,7 @@
   CutOff,
   Starting,
   Leaving,
-  HomesUnreachable,
+  ReplicasUnreachable,
   InProgress,
   OutcomeUnknown,
   AlreadyRan,
--- a/src/idempotency/tests/replicamodeltest.cpp
+++ b/src/idempotency/tests/replicamodeltest.cpp
@@ -29,7 +29,7 @@
   RecordName Name_;
   AttemptId Id_;
   ReservationTally Tally_;
-  bool Over_ = false;
+  bool Ended_ = false;
 };
 
 struct Entry {
@@ -205,13 +205,13 @@
 
   void decide(Entry &One, bool Final) {
     for (Attempt &Item : One.Attempts_) {
-      if (Item.Over_)
+      if (Item.Ended_)
         continue;
       const ReservationOutcome Outcome =
           Item.Tally_.outcome(Final && below(2) == 0);
       if (Outcome == ReservationOutcome::Pending)
         continue;
-      Item.Over_ = true;
+      Item.Ended_ = true;
       if (Outcome == ReservationOutcome::Granted) {
         DispatchedTwice_ |= !Dispatched_.insert(Item.Name_).second;
         continue;
--- a/src/jobs/internal/celltable.cpp
+++ b/src/jobs/internal/celltable.cpp
@@ -9,7 +9,7 @@
 /// Attempt limit when the queue's own limit is unknown.
 constexpr std::uint32_t DefaultAttempts = 3;
 /// Upper limit on the age of a job, in case a clock was set wrongly.
-constexpr std::int64_t LongestAgeMs = 3'600'000;
+constexpr std::int64_t MaxAgeMs = 3'600'000;
 
 OccurrenceRow emptyOccurrence(const JobSpec &Spec) {
   OccurrenceRow Row;
@@ -329,8 +329,8 @@
 void CellTable::restoreAcceptTimes(std::int64_t WallMs, TimePoint Now) {
   for (const auto &[Order, Id] : Open_) {
     JobRow &Job = Jobs_.at(Id);
-    const std::int64_t AgeMs = std::clamp<std::int64_t>(
-        WallMs - Job.Spec_.AcceptedMs_, 0, LongestAgeMs);
+    const std::int64_t AgeMs =
+        std::clamp<std::int64_t>(WallMs - Job.Spec_.AcceptedMs_, 0, MaxAgeMs);
     Job.AcceptedAt_ = Now - std::chrono::milliseconds(AgeMs);
   }
 }
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -58,7 +58,8 @@
   static constexpr Duration RetryPause = std::chrono::milliseconds(50);
 
   Journal(Store &S, CellKeys Keys, Leadership<Store> &Lead)
-      : Store_(S), Keys_(std::move(Keys)), Lead_(Lead), Term_(Lead.term()) {}
+      : Store_(S), Keys_(std::move(Keys)), Leadership_(Lead),
+        Term_(Lead.term()) {}
 
   /// Loads the snapshot and replays the journal into \p Into. Called once after
   /// a takeover, when no other process can write any more. Returns DataLoss if
@@ -87,7 +88,8 @@
   /// if the leadership was lost; it is then unknown whether it was written.
   absl::Status append(const std::vector<jobs::Event> &Events) {
     const std::string Bytes = jobs::encodeGroup(
-        Events, {Lead_.token(), SteadyClock().now() - Lead_.startedAt()});
+        Events,
+        {Leadership_.token(), SteadyClock().now() - Leadership_.startedAt()});
     const std::string Key = Keys_.log(Next_);
     store::Transaction Txn = fencedTransaction();
     Txn.Compares_.push_back({Key, fleet::Revision(0)});
@@ -158,7 +160,7 @@
   /// leader's.
   store::Transaction fencedTransaction() const {
     store::Transaction Txn;
-    Txn.Compares_ = {headRevisionIs(Lead_.token())};
+    Txn.Compares_ = {headRevisionIs(Leadership_.token())};
     return Txn;
   }
 
@@ -226,24 +228,24 @@
   commitUntilKnown(const store::Transaction &Txn, const std::string &Key,
                    const std::string &Value) {
     store::Transaction Fenced = Txn;
-    while (Lead_.holds(Term_)) {
+    while (Leadership_.holds(Term_)) {
       // The head may have been rewritten since the last attempt.
-      const jobs::FencingToken Token = Lead_.token();
+      const jobs::FencingToken Token = Leadership_.token();
       Fenced.Compares_.front() = headRevisionIs(Token);
       const TimePoint SentAt = SteadyClock().now();
       const auto Written = Store_.commit(Fenced, wallDeadline(Answers_.wait()));
       if (Written.ok())
         Answers_.answered(SteadyClock().now() - SentAt);
       if (Written.ok() && Written->Succeeded_) {
-        Lead_.recordConfirmation(SentAt);
+        Leadership_.recordConfirmation(SentAt);
         return Written->StoreRevision_;
       }
       if (Written.ok()) {
         const auto Resolved = resolveOutcome(Key, Value);
-        const bool LeadershipOver = absl::IsAborted(Resolved.status()) &&
-                                    Lead_.token() == Token &&
-                                    !Lead_.rewritePending();
-        if (Resolved.ok() || LeadershipOver)
+        const bool LeadershipEnded = absl::IsAborted(Resolved.status()) &&
+                                     Leadership_.token() == Token &&
+                                     !Leadership_.rewritePending();
+        if (Resolved.ok() || LeadershipEnded)
           return Resolved;
       }
       ++Counters_.Retries_;
@@ -282,7 +284,7 @@
       store::Transaction Txn = fencedTransaction();
       const std::size_t End = std::min(At + KeysPerTransaction, Keys.size());
       Txn.Deletes_.assign(Keys.begin() + At, Keys.begin() + End);
-      if (!Lead_.holds(Term_))
+      if (!Leadership_.holds(Term_))
         return absl::AbortedError("leadership was lost before log compaction");
       // A removal that fails only leaves keys that a replay skips.
       const auto Removed = Store_.commit(Txn, wallDeadline(MaxAnswerTimeout));
@@ -295,7 +297,7 @@
 
   Store &Store_;
   CellKeys Keys_;
-  Leadership<Store> &Lead_;
+  Leadership<Store> &Leadership_;
   TermNumber Term_;
   std::uint64_t Next_ = 1;
   Base Base_;
--- a/src/journal/tests/journaltest.cpp
+++ b/src/journal/tests/journaltest.cpp
@@ -33,19 +33,19 @@
 /// An entry with its leadership and journal.
 struct Entry {
   Entry(FakeStore &Store, const char *Name, std::uint64_t Incarnation = 1)
-      : Store_(Store), Lead_(Store, Keys, leader(Name, Incarnation)) {
-    Log_.emplace(Store_, Keys, Lead_);
+      : Store_(Store), Leadership_(Store, Keys, leader(Name, Incarnation)) {
+    Log_.emplace(Store_, Keys, Leadership_);
   }
 
   /// Campaigns for leadership. Each leadership has a journal of its own.
   absl::StatusOr<bool> campaign() {
-    const auto Won = Lead_.campaign();
-    Log_.emplace(Store_, Keys, Lead_);
+    const auto Won = Leadership_.campaign();
+    Log_.emplace(Store_, Keys, Leadership_);
     return Won;
   }
 
   FakeStore &Store_;
-  Leadership<FakeStore> Lead_;
+  Leadership<FakeStore> Leadership_;
   std::optional<Journal<FakeStore>> Log_;
 };
 
@@ -76,46 +76,46 @@
 BOOST_AUTO_TEST_CASE(OneEntryLeadsAtATime) {
   BOOST_TEST(*First_.campaign());
   BOOST_TEST(!*Second_.campaign());
-  First_.Lead_.resign();
+  First_.Leadership_.resign();
   BOOST_TEST(*Second_.campaign());
 }
 
 BOOST_AUTO_TEST_CASE(TokenGrowsWithEachLeader) {
   BOOST_REQUIRE(*First_.campaign());
-  const auto Before = First_.Lead_.token();
-  First_.Lead_.resign();
+  const auto Before = First_.Leadership_.token();
+  First_.Leadership_.resign();
   BOOST_REQUIRE(*Second_.campaign());
-  BOOST_TEST((Second_.Lead_.token() > Before));
+  BOOST_TEST((Second_.Leadership_.token() > Before));
 }
 
 BOOST_AUTO_TEST_CASE(CampaignWithLostAnswerIsDetected) {
   Store_.Next_ = FakeStore::Fault::AnswerLost;
   BOOST_TEST(*First_.campaign());
-  BOOST_TEST(First_.Lead_.held());
+  BOOST_TEST(First_.Leadership_.held());
 }
 
 BOOST_AUTO_TEST_CASE(RestartedEntryReplacesItsFormerProcess) {
   BOOST_REQUIRE(*First_.campaign());
   Entry Again(Store_, "first", 2);
-  BOOST_TEST(*Again.Lead_.takeOverFrom(First_.Lead_.self()));
+  BOOST_TEST(*Again.Leadership_.takeOverFrom(First_.Leadership_.self()));
   BOOST_TEST(!First_.Log_->append({accepted("a")}).ok());
 }
 
 // Guards against a leader that is cut off from the store and answers "no such
 // job" for a job that its successor has accepted.
-BOOST_AUTO_TEST_CASE(HolderWithoutTheStoreStopsAnsweringBeforeItsLeaseEnds) {
+BOOST_AUTO_TEST_CASE(LeaderWithoutTheStoreStopsAnsweringBeforeItsLeaseEnds) {
   BOOST_REQUIRE(*First_.campaign());
-  const TimePoint Renewed = First_.Lead_.confirmedAt();
-  BOOST_TEST(First_.Lead_.leaseValidAt(Renewed + 800ms));
-  BOOST_TEST(!First_.Lead_.leaseValidAt(Renewed + 1s));
-  BOOST_TEST(First_.Lead_.held());
+  const TimePoint Renewed = First_.Leadership_.confirmedAt();
+  BOOST_TEST(First_.Leadership_.leaseValidAt(Renewed + 800ms));
+  BOOST_TEST(!First_.Leadership_.leaseValidAt(Renewed + 1s));
+  BOOST_TEST(First_.Leadership_.held());
 }
 
 BOOST_AUTO_TEST_CASE(SuccessorReadsAcknowledgedEntries) {
   BOOST_REQUIRE(*First_.campaign());
   BOOST_REQUIRE(First_.Log_->append({accepted("a")}).ok());
   BOOST_REQUIRE(First_.Log_->append({accepted("b")}).ok());
-  First_.Lead_.resign();
+  First_.Leadership_.resign();
   BOOST_REQUIRE(*Second_.campaign());
   const CellTable Table = loadBy(Second_);
   BOOST_TEST(Table.find(JobId("a")));
@@ -139,7 +139,7 @@
   BOOST_REQUIRE(*First_.campaign());
   store::Transaction Late;
   Late.Compares_ = {
-      {Keys.head(), fleet::Revision(First_.Lead_.token().value())},
+      {Keys.head(), fleet::Revision(First_.Leadership_.token().value())},
       {Keys.log(1), fleet::Revision(0)}};
   Late.Puts_ = {{Keys.log(1), jobs::encodeGroup({accepted("a")}), 0}};
   Store_.Next_ = FakeStore::Fault::Late;
@@ -163,9 +163,9 @@
   Store_.Next_ = FakeStore::Fault::Lost;
   Store_.BeforeAnswer_ = [&] {
     Store_.endLease(1);
-    First_.Lead_.markLost();
-    BOOST_TEST(*First_.Lead_.campaign());
-    Next.emplace(Store_, Keys, First_.Lead_);
+    First_.Leadership_.markLost();
+    BOOST_TEST(*First_.Leadership_.campaign());
+    Next.emplace(Store_, Keys, First_.Leadership_);
     BOOST_TEST(Next->load(Table, TimePoint()).ok());
   };
   BOOST_TEST(absl::IsAborted(First_.Log_->append({accepted("a")})));
@@ -187,22 +187,22 @@
 // leadership, but its write is delayed and the leader has continued meanwhile.
 BOOST_AUTO_TEST_CASE(RewrittenHeadIsNotTakenOver) {
   BOOST_REQUIRE(*First_.campaign());
-  const Leader Offered = First_.Lead_.self();
+  const Leader Offered = First_.Leadership_.self();
   BOOST_REQUIRE(First_.Log_->append({accepted("a")}).ok());
-  BOOST_TEST(*First_.Lead_.rewriteHead());
-  BOOST_TEST((First_.Lead_.token() > Offered.Token_));
-  BOOST_TEST(!*Second_.Lead_.takeOverFrom(Offered));
+  BOOST_TEST(*First_.Leadership_.rewriteHead());
+  BOOST_TEST((First_.Leadership_.token() > Offered.Token_));
+  BOOST_TEST(!*Second_.Leadership_.takeOverFrom(Offered));
   BOOST_TEST(First_.Log_->append({accepted("b")}).ok());
 }
 
 // Guards against seconds without a leader: with a slow store, a leader got no
 // answer to a rewrite of its head key, mistook its own write for a peer's and
 // stepped down.
-BOOST_AUTO_TEST_CASE(RewriteWhoseAnswerWasLostIsFoundOut) {
+BOOST_AUTO_TEST_CASE(RewriteWithLostAnswerIsDetected) {
   BOOST_REQUIRE(*First_.campaign());
   Store_.Next_ = FakeStore::Fault::AnswerLost;
-  BOOST_TEST(!First_.Lead_.rewriteHead().ok());
-  BOOST_TEST(*First_.Lead_.rewriteHead());
+  BOOST_TEST(!First_.Leadership_.rewriteHead().ok());
+  BOOST_TEST(*First_.Leadership_.rewriteHead());
   BOOST_TEST(First_.Log_->append({accepted("a")}).ok());
 }
 
@@ -213,8 +213,9 @@
 BOOST_AUTO_TEST_CASE(EntryWaitsForARewriteWithoutAnswer) {
   BOOST_REQUIRE(*First_.campaign());
   Store_.Next_ = FakeStore::Fault::AnswerLost;
-  BOOST_REQUIRE(!First_.Lead_.rewriteHead().ok());
-  boost::fibers::fiber Later([&] { BOOST_TEST(*First_.Lead_.rewriteHead()); });
+  BOOST_REQUIRE(!First_.Leadership_.rewriteHead().ok());
+  boost::fibers::fiber Later(
+      [&] { BOOST_TEST(*First_.Leadership_.rewriteHead()); });
   BOOST_TEST(First_.Log_->append({accepted("a")}).ok());
   Later.join();
   BOOST_TEST(Store_.has(Keys.log(1)));
@@ -235,13 +236,13 @@
   };
   Store_.BeforeAnswer_ = [&] {
     Watch = boost::fibers::fiber(boost::fibers::launch::dispatch, [&] {
-      BOOST_TEST(!First_.Lead_.adoptOwnHead(head()).ok());
+      BOOST_TEST(!First_.Leadership_.adoptOwnHead(head()).ok());
     });
   };
   BOOST_TEST(*First_.campaign());
   Answered = true;
   Watch.join();
-  BOOST_TEST(First_.Lead_.held());
+  BOOST_TEST(First_.Leadership_.held());
   BOOST_TEST(First_.Log_->append({accepted("a")}).ok());
 }
 
@@ -250,40 +251,40 @@
 // ended while the leader read the key back. Adopting it then restored the
 // leadership without a term, and while a process leads it ignores its own head
 // key.
-BOOST_AUTO_TEST_CASE(RewriteThatIsFoundOutTooLateBeginsNothing) {
+BOOST_AUTO_TEST_CASE(RewriteDetectedAfterTheTermEndedStartsNoTerm) {
   BOOST_REQUIRE(*First_.campaign());
   Store_.Next_ = FakeStore::Fault::AnswerLost;
-  BOOST_REQUIRE(!First_.Lead_.rewriteHead().ok());
-  Store_.BeforeList_ = [&] { First_.Lead_.markLost(); };
-  BOOST_TEST(!First_.Lead_.rewriteHead().ok());
-  BOOST_TEST(!First_.Lead_.held());
+  BOOST_REQUIRE(!First_.Leadership_.rewriteHead().ok());
+  Store_.BeforeList_ = [&] { First_.Leadership_.markLost(); };
+  BOOST_TEST(!First_.Leadership_.rewriteHead().ok());
+  BOOST_TEST(!First_.Leadership_.held());
 }
 
 // Guards against waiting for the lease of an entry that has shut down. The
 // delete of its head key was lost when it resigned. The watch then reported the
 // entry's own head key, which it adopted and renewed, and left behind when its
 // process ended.
-BOOST_AUTO_TEST_CASE(LeavingEntryDoesNotTakeItsHeadUpAgain) {
+BOOST_AUTO_TEST_CASE(LeavingEntryDoesNotAdoptItsHead) {
   BOOST_REQUIRE(*First_.campaign());
   Store_.Next_ = FakeStore::Fault::Lost;
-  First_.Lead_.resign();
-  BOOST_TEST(!*First_.Lead_.adoptOwnHead(head()));
-  BOOST_TEST(!First_.Lead_.held());
+  First_.Leadership_.resign();
+  BOOST_TEST(!*First_.Leadership_.adoptOwnHead(head()));
+  BOOST_TEST(!First_.Leadership_.held());
   BOOST_TEST(!Store_.has(Keys.head()));
 }
 
 // The same if it resigns while its write of the head key is pending.
 BOOST_AUTO_TEST_CASE(ResignedEntryRemovesAHeadThatItWins) {
-  Store_.BeforeAnswer_ = [&] { First_.Lead_.resign(); };
+  Store_.BeforeAnswer_ = [&] { First_.Leadership_.resign(); };
   BOOST_TEST(!*First_.campaign());
-  BOOST_TEST(!First_.Lead_.held());
+  BOOST_TEST(!First_.Leadership_.held());
   BOOST_TEST(!Store_.has(Keys.head()));
 }
 
 BOOST_AUTO_TEST_CASE(ReplacedLeaderCannotContinue) {
   BOOST_REQUIRE(*First_.campaign());
-  BOOST_TEST(*Second_.Lead_.takeOverFrom(First_.Lead_.self()));
-  BOOST_TEST(!*First_.Lead_.rewriteHead());
+  BOOST_TEST(*Second_.Leadership_.takeOverFrom(First_.Leadership_.self()));
+  BOOST_TEST(!*First_.Leadership_.rewriteHead());
   BOOST_TEST(absl::IsAborted(First_.Log_->append({accepted("a")})));
 }
 
@@ -307,7 +308,7 @@
   const auto Put = [&](std::uint64_t Index, std::vector<Event> Events,
                        Duration Since) {
     store::Transaction Txn;
-    const jobs::GroupStamp Stamp{First_.Lead_.token(), Since};
+    const jobs::GroupStamp Stamp{First_.Leadership_.token(), Since};
     Txn.Puts_ = {{Keys.log(Index), jobs::encodeGroup(Events, Stamp), 0}};
     BOOST_REQUIRE(Store_.commit(Txn, {}).ok());
   };
@@ -332,7 +333,7 @@
   Table.apply(Item, TimePoint());
   BOOST_REQUIRE(First_.Log_->append({Item}).ok());
   BOOST_REQUIRE(First_.Log_->writeSnapshot(Table).ok());
-  First_.Lead_.resign();
+  First_.Leadership_.resign();
   BOOST_REQUIRE(*Second_.campaign());
   const CellTable Loaded = loadBy(Second_);
   BOOST_REQUIRE(Loaded.machineOrders().size() == 1u);
@@ -352,7 +353,7 @@
   BOOST_TEST(!Store_.has(Keys.log(1)));
   BOOST_TEST(!Store_.has(Keys.log(40)));
   BOOST_REQUIRE(First_.Log_->append({accepted("after")}).ok());
-  First_.Lead_.resign();
+  First_.Leadership_.resign();
   BOOST_REQUIRE(*Second_.campaign());
   const CellTable Loaded = loadBy(Second_);
   BOOST_TEST(Loaded.jobs().size() == 41u);
@@ -379,7 +380,7 @@
   Append("c");
   BOOST_REQUIRE(First_.Log_->writeSnapshot(Table).ok());
   Store_.carryOutDelayed();
-  First_.Lead_.resign();
+  First_.Leadership_.resign();
   BOOST_REQUIRE(*Second_.campaign());
   BOOST_TEST(loadBy(Second_).jobs().size() == 3u);
 }
--- a/src/maintenance/internal/waveplanner.cpp
+++ b/src/maintenance/internal/waveplanner.cpp
@@ -22,7 +22,7 @@
                                     Machine.Spec_.Pool_) != Pools.end();
 }
 
-bool isOver(const Wave &W) {
+bool isFinished(const Wave &W) {
   return W.Status_.Phase_ == WavePhase::Complete ||
          W.Status_.Phase_ == WavePhase::Cancelled;
 }
@@ -38,7 +38,7 @@
               VmStatus &Status) {
   std::erase_if(Status.DoneWaves_, [&](const fleet::WaveName &Other) {
     const auto *Known = Tables.find<Wave>(Other.str());
-    return !Known || isOver(*Known);
+    return !Known || isFinished(*Known);
   });
   Status.DoneWaves_.push_back(Name);
 }
@@ -337,12 +337,12 @@
       advanceVm(Tables, Machine, isCancelled(Tables, Machine.Status_.Wave_),
                 Observed, Result);
   if (std::all_of(Tables.Waves_.begin(), Tables.Waves_.end(),
-                  [](const auto &Row) { return isOver(Row.second); }))
+                  [](const auto &Row) { return isFinished(Row.second); }))
     return Result;
   DisruptionBudgets Budgets(Tables, Observed.List_);
   WaveAdvancer Advancer(Tables, Observed, Budgets, Result);
   for (const auto &[Name, W] : Tables.Waves_)
-    if (!isOver(W))
+    if (!isFinished(W))
       Advancer.advance(W);
   return Result;
 }
--- a/src/scheduling/internal/scheduler.cpp
+++ b/src/scheduling/internal/scheduler.cpp
@@ -223,8 +223,9 @@
       return !Step.Spec_->DataRack_.empty() &&
              !C.Worker_->hasLabel(Step.Spec_->DataRack_);
     };
-    return std::make_tuple(A.Distrust_, FarFromData(A), A.Free_.MilliCpus_) <
-           std::make_tuple(B.Distrust_, FarFromData(B), B.Free_.MilliCpus_);
+    return std::make_tuple(A.FailureScore_, FarFromData(A),
+                           A.Free_.MilliCpus_) <
+           std::make_tuple(B.FailureScore_, FarFromData(B), B.Free_.MilliCpus_);
   }
 
   using StepOnWorker = std::tuple<jobs::JobId, std::uint32_t, std::uint32_t,
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -24,7 +24,7 @@
   jobs::Resources Free_;
   /// Penalty for tasks that failed or hung on the worker recently; workers with
   /// a lower value are preferred.
-  double Distrust_ = 0;
+  double FailureScore_ = 0;
 };
 
 /// The time of a scheduling pass, by both clocks.
--- a/src/sharing/internal/poolqueue.cpp
+++ b/src/sharing/internal/poolqueue.cpp
@@ -125,8 +125,8 @@
   return Expired;
 }
 
-void PoolQueue::addBorrowRequest(const BorrowRequest &Item) {
-  std::erase_if(BorrowRequests_, [&](const BorrowRequest &Old) {
+void PoolQueue::addBorrowRequest(const PendingBorrowRequest &Item) {
+  std::erase_if(BorrowRequests_, [&](const PendingBorrowRequest &Old) {
     return Old.From_ == Item.From_ && Old.Team_ == Item.Team_ &&
            Old.Class_ == Item.Class_;
   });
@@ -134,13 +134,14 @@
     BorrowRequests_.push_back(Item);
 }
 
-void PoolQueue::recordGrant(const BorrowRequest &Item) {
-  for (BorrowRequest &Row : BorrowRequests_)
+void PoolQueue::recordGrant(const PendingBorrowRequest &Item) {
+  for (PendingBorrowRequest &Row : BorrowRequests_)
     if (Row.From_ == Item.From_ && Row.Team_ == Item.Team_ &&
         Row.Class_ == Item.Class_ && Row.Count_ > 0)
       --Row.Count_;
-  std::erase_if(BorrowRequests_,
-                [](const BorrowRequest &Row) { return Row.Count_ == 0; });
+  std::erase_if(BorrowRequests_, [](const PendingBorrowRequest &Row) {
+    return Row.Count_ == 0;
+  });
 }
 
 const Ticket *PoolQueue::head(const TeamQueue &Queue) const {
@@ -167,7 +168,7 @@
     Best = Candidate;
     Chosen = *Head;
   }
-  for (const BorrowRequest &Request : BorrowRequests_) {
+  for (const PendingBorrowRequest &Request : BorrowRequests_) {
     if (Request.ExpiresAt_ <= Inputs.Now_)
       continue;
     Active.rewind();
--- a/src/sharing/poolqueue.h
+++ b/src/sharing/poolqueue.h
@@ -48,9 +48,9 @@
 
   /// Adds a peer's borrow request. Replaces the peer's previous one for the
   /// same workspace and class; a count of zero only removes it.
-  void addBorrowRequest(const BorrowRequest &Item);
+  void addBorrowRequest(const PendingBorrowRequest &Item);
   /// Counts one slot as granted to a borrow request.
-  void recordGrant(const BorrowRequest &Item);
+  void recordGrant(const PendingBorrowRequest &Item);
 
   /// Selects who should get the next free slot. A selected ticket stays in the
   /// queue until cancel().
@@ -77,7 +77,7 @@
   std::uint32_t Limit_;
   std::unordered_map<TicketId, Ticket> Tickets_;
   std::map<TeamName, TeamQueue> Teams_;
-  std::vector<BorrowRequest> BorrowRequests_;
+  std::vector<PendingBorrowRequest> BorrowRequests_;
 };
 
 } // namespace laburnumspread::sharing
--- a/src/sharing/sharingtypes.h
+++ b/src/sharing/sharingtypes.h
@@ -28,7 +28,7 @@
 };
 
 /// A peer's request to borrow slots of a pool for work that waits at the peer.
-struct BorrowRequest {
+struct PendingBorrowRequest {
   MemberId From_;
   TeamName Team_;
   RequestClass Class_ = RequestClass::Normal;
@@ -41,6 +41,7 @@
 };
 
 /// Who gets the next free slot: nobody, a local request or a peer.
-using SlotRecipient = std::variant<std::monostate, Ticket, BorrowRequest>;
+using SlotRecipient =
+    std::variant<std::monostate, Ticket, PendingBorrowRequest>;
 
 } // namespace laburnumspread::sharing
--- a/src/sharing/tests/poolqueuetest.cpp
+++ b/src/sharing/tests/poolqueuetest.cpp
@@ -100,13 +100,13 @@
 BOOST_FIXTURE_TEST_CASE(PeerBelowShareIsServedBeforeOwnWaiters, Fixture) {
   Usage_.addRunning(Orders, Big, 30);
   push(Big);
-  BorrowRequest Request;
+  PendingBorrowRequest Request;
   Request.From_ = {EntryName("p"), Incarnation(1)};
   Request.Team_ = Small;
   Request.Count_ = 1;
   Request.ExpiresAt_ = Start + 1s;
   Queue_.addBorrowRequest(Request);
-  BOOST_TEST(std::holds_alternative<BorrowRequest>(choose()));
+  BOOST_TEST(std::holds_alternative<PendingBorrowRequest>(choose()));
   Queue_.recordGrant(Request);
   BOOST_TEST(std::holds_alternative<Ticket>(choose()));
   Request.ExpiresAt_ = Start;
