--- a/src/cell/cellservice.h
+++ b/src/cell/cellservice.h
@@ -27,7 +27,7 @@
   /// Delay before another attempt to load the journal.
   static constexpr Duration LoadRetryPause = std::chrono::milliseconds(100);
   /// Longest time after which a sent order may still be executed. The platform
-  /// only says "seconds later".
+  /// specifies only "seconds later".
   static constexpr Duration MaxOrderDelay = std::chrono::seconds(12);
 
   CellService(Store &S, Client &C, Service &Api, WorkerDirectory Directory,
@@ -388,6 +388,8 @@
   /// question.
   static constexpr std::size_t MaxWorkersPerQuestion = 30;
   static constexpr std::uint32_t DefaultMaxAttempts = 3;
+  /// Lower failure scores count as zero, so that workers whose failures are
+  /// long past are equal again.
   static constexpr double MinFailureScore = 0.1;
   /// Factor applied to the failure scores of all workers at each tick; halves
   /// them in 4 s.
--- a/src/cell/jobcallhandler.h
+++ b/src/cell/jobcallhandler.h
@@ -8,7 +8,7 @@
 using JobReplyFn = std::function<void(const peers::JobReply &)>;
 
 /// Serves callers' requests about jobs, for one term. A reply is sent only once
-/// the store holds what it says.
+/// the store holds the change that it confirms.
 template <store::KeyValueStore Store, WorkerClient Client>
 class JobCallHandler {
 public:
--- a/src/sharing/sharingtypes.h
+++ b/src/sharing/sharingtypes.h
@@ -27,7 +27,8 @@
   TimePoint ArrivedAt_{};
 };
 
-/// A peer's request to borrow slots of a pool for work that waits at the peer.
+/// A peer's borrow request (the message peers::BorrowRequest) that waits at
+/// this entry for free slots of a pool or for free permits of a team.
 struct PendingBorrowRequest {
   MemberId From_;
   TeamName Team_;
