--- a/src/sharing/sharingtypes.h
+++ b/src/sharing/sharingtypes.h
@@ -27,8 +27,9 @@
   TimePoint ArrivedAt_{};
 };
 
-/// A peer's request to borrow slots of a pool for work that waits at the peer.
-struct BorrowRequest {
+/// A peer's borrow request (the message peers::BorrowRequest) that waits at
+/// this entry for free slots of a pool or for free permits of a team.
+struct PendingBorrowRequest {
   MemberId From_;
   TeamName Team_;
   RequestClass Class_ = RequestClass::Normal;
@@ -41,6 +42,7 @@
 };
 
 /// Who gets the next free slot: nobody, a local request or a peer.
-using SlotRecipient = std::variant<std::monostate, Ticket, BorrowRequest>;
+using SlotRecipient =
+    std::variant<std::monostate, Ticket, PendingBorrowRequest>;
 
 } // namespace laburnumspread::sharing
