--- a/cmake/testmain.cpp
+++ b/cmake/testmain.cpp
@@ -6,9 +6,9 @@
 #include <cstdlib>
 #include <iostream>
 
-int main(int Count, char **Words) {
-  const int Result =
-      boost::unit_test::unit_test_main(&init_unit_test, Count, Words);
+int main(int ArgumentCount, char **Arguments) {
+  const int Result = boost::unit_test::unit_test_main(&init_unit_test,
+                                                      ArgumentCount, Arguments);
   std::cout.flush();
   // Detached fibers (servers, tickers) may be left, and the fiber scheduler
   // would wait for them for ever in an ordinary exit.
--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -18,20 +18,20 @@
 namespace {
 
 /// Ends the run: a property does not hold.
-void require(bool Holds) {
-  if (!Holds)
+void require(bool Condition) {
+  if (!Condition)
     std::abort();
 }
 
-template <typename T> void resourceOf(const boost::json::value &Document) {
+template <typename T> void checkResource(const boost::json::value &Document) {
   framework::settings::FieldErrors Errors;
   const T Object = fleet::readResource<T>(Document, Errors);
   if (!Errors.empty())
     return;
-  const T Again = fleet::readStored<T>(Object.Metadata_.Name_,
-                                       fleet::toStored(Object), Errors);
+  const T RoundTripped = fleet::readStored<T>(Object.Metadata_.Name_,
+                                              fleet::toStored(Object), Errors);
   require(Errors.empty());
-  require(fleet::toJson(Again.Spec_) == fleet::toJson(Object.Spec_));
+  require(fleet::toJson(RoundTripped.Spec_) == fleet::toJson(Object.Spec_));
 }
 
 } // namespace
@@ -46,11 +46,11 @@
   const auto Document = framework::settings::parseJson(Bytes);
   if (!Document.ok())
     return;
-  resourceOf<fleet::Pool>(*Document);
-  resourceOf<fleet::Vm>(*Document);
-  resourceOf<fleet::Team>(*Document);
-  resourceOf<fleet::Key>(*Document);
-  resourceOf<fleet::Wave>(*Document);
+  checkResource<fleet::Pool>(*Document);
+  checkResource<fleet::Vm>(*Document);
+  checkResource<fleet::Team>(*Document);
+  checkResource<fleet::Key>(*Document);
+  checkResource<fleet::Wave>(*Document);
 }
 
 void headers(std::string_view Bytes) {
@@ -71,9 +71,9 @@
 void store(std::string_view Bytes) {
   store::readRangeAnswer(Bytes).IgnoreError();
   store::readTransactionAnswer(Bytes).IgnoreError();
-  const std::function<bool(const store::WatchBatch &)> Take =
+  const std::function<bool(const store::WatchBatch &)> AcceptAll =
       [](const store::WatchBatch &) { return true; };
-  store::WatchReader Reader(Take);
+  store::WatchReader Reader(AcceptAll);
   Reader.feed(Bytes);
   membership::parseView(Bytes).IgnoreError();
   config::ConfigTable Table("/l/");
--- a/fuzz/tests/corpustest.cpp
+++ b/fuzz/tests/corpustest.cpp
@@ -14,7 +14,7 @@
 
 constexpr int MutationsPerFile = 400;
 
-std::vector<std::string> corpusOf(const std::string &Name) {
+std::vector<std::string> readCorpus(const std::string &Name) {
   std::vector<std::filesystem::path> Files;
   for (const auto &File : std::filesystem::directory_iterator(
            std::filesystem::path(LABURNUM_CORPUS) / Name))
@@ -32,7 +32,7 @@
 }
 
 /// Changes, drops, repeats or inserts some bytes.
-std::string mutated(std::string Text, std::mt19937_64 &Random) {
+std::string mutate(std::string Text, std::mt19937_64 &Random) {
   for (std::uint64_t Edits = 1 + Random() % 4; Edits > 0; --Edits) {
     const std::size_t At = Text.empty() ? 0 : Random() % Text.size();
     switch (Random() % 4) {
@@ -55,10 +55,10 @@
 
 template <typename Target> void runCorpus(const char *Name, Target &&Run) {
   std::mt19937_64 Random(20261203);
-  for (const std::string &Text : corpusOf(Name)) {
+  for (const std::string &Text : readCorpus(Name)) {
     Run(Text);
     for (int I = 0; I < MutationsPerFile; ++I)
-      Run(mutated(Text, Random));
+      Run(mutate(Text, Random));
   }
   BOOST_TEST(true);
 }
--- a/src/api/internal/httpapi.cpp
+++ b/src/api/internal/httpapi.cpp
@@ -138,7 +138,7 @@
   const auto &Parts = Path.Segments_;
   const std::string &Method = Call.head().Method_;
   if (Context_.State_.Leaving_)
-    Call.closeAfter();
+    Call.closeAfterReply();
   if (Parts.size() >= 4 && Parts[0] == "v1" && Parts[1] == "pools" &&
       Parts[3] == "requests") {
     if (Parts.size() == 4 && Method == "POST")
--- a/src/api/internal/operatorapi.cpp
+++ b/src/api/internal/operatorapi.cpp
@@ -78,7 +78,7 @@
 public:
   JsonLineStream(OperatorApi &Owner, Exchange &Call)
       : Owner_(Owner), Call_(Call) {
-    Call_.onCallerGone([Gone = Gone_, Wake = Wake_] {
+    Call_.onCallerDisconnected([Gone = Gone_, Wake = Wake_] {
       *Gone = true;
       if (*Wake)
         (*Wake)->signal();
@@ -90,7 +90,7 @@
   }
 
   ~JsonLineStream() {
-    Call_.onCallerGone(nullptr);
+    Call_.onCallerDisconnected(nullptr);
     Call_.endReply();
   }
 
--- a/src/app/internal/cellapp.cpp
+++ b/src/app/internal/cellapp.cpp
@@ -110,7 +110,7 @@
   void serveCaller(Exchange &Call) {
     ++InFlight_;
     if (Leaving_)
-      Call.closeAfter();
+      Call.closeAfterReply();
     Api_.handle(Call);
     --InFlight_;
   }
--- a/src/app/tests/cluster.h
+++ b/src/app/tests/cluster.h
@@ -158,13 +158,13 @@
         Entries_[I]->setPeerFilter([Entry](const fleet::EntryName &Name) {
           return Name.str() != "e" + std::to_string(Entry);
         });
-    Platform_.cutControl(ControlPorts_[Entry], Store);
+    Platform_.setControlUnreachable(ControlPorts_[Entry], Store);
   }
 
   void heal(int Entry) {
     for (EntryApp *Item : Entries_)
       Item->setPeerFilter(nullptr);
-    Platform_.cutControl(ControlPorts_[Entry], false);
+    Platform_.setControlUnreachable(ControlPorts_[Entry], false);
   }
 
   /// Whether every entry serves and is in touch with all others.
--- a/src/app/tests/fleettest.cpp
+++ b/src/app/tests/fleettest.cpp
@@ -142,7 +142,7 @@
         Done.signal();
     });
   BOOST_REQUIRE(Done.waitUntil(Cluster::deadline()));
-  BOOST_TEST(Fleet.Platform_.ledger().MostByTeam_["caterers"] == 10);
+  BOOST_TEST(Fleet.Platform_.ledger().PeakRunningByTeam_["caterers"] == 10);
 }
 
 // The store loses what it had accepted: it comes back from a backup that was
--- a/src/cell/internal/cellsettings.cpp
+++ b/src/cell/internal/cellsettings.cpp
@@ -20,7 +20,7 @@
                                     : Reader.optionalString(Field, "");
   const auto Parsed = framework::http::parseAddress(Text);
   if (!Text.empty() && !Parsed)
-    Reader.fault(Field, "must be a numeric ip:port");
+    Reader.addError(Field, "must be a numeric ip:port");
   return Parsed.value_or(Address());
 }
 
@@ -53,20 +53,20 @@
 void readLog(JsonReader Reader, CellSettings &Into) {
   const std::string Format = Reader.optionalString("format", "kv");
   if (Format != "kv" && Format != "json")
-    Reader.fault("format", "must be kv or json");
+    Reader.addError("format", "must be kv or json");
   if (Format == "json")
     Into.LogFormat_ = framework::log::Format::Json;
   const std::string Level = Reader.optionalString("level", "info");
   if (absl::Status Parsed = framework::log::parseLevel(Level, Into.LogLevel_);
       !Parsed.ok())
-    Reader.fault("level", std::string_view(Parsed.message().data(),
-                                           Parsed.message().size()));
+    Reader.addError("level", std::string_view(Parsed.message().data(),
+                                              Parsed.message().size()));
   Reader.finish();
 }
 
 CellSettings readFields(JsonReader &Reader) {
   CellSettings Result;
-  Reader.ignore("kind");
+  Reader.markKnown("kind");
   Result.Name_ = fleet::EntryName(Reader.requiredString("name"));
   Result.Zone_ = ZoneName(Reader.requiredString("zone"));
   JsonReader Listen = Reader.child("listen", true);
@@ -82,7 +82,7 @@
   Result.StoreAddress_ = readAddress(Store, "address", true);
   Result.StorePrefix_ = Store.optionalString("prefix", "laburnumspread/");
   if (!Result.StorePrefix_.ends_with('/'))
-    Store.fault("prefix", "must end with '/'");
+    Store.addError("prefix", "must end with '/'");
   Store.finish();
   JsonReader Services = Reader.child("services", false);
   Result.MachineApiAddress_ = readAddress(Services, "machines", false);
--- a/src/cell/runstopper.h
+++ b/src/cell/runstopper.h
@@ -97,7 +97,7 @@
     const TimePoint SentAt = now();
     const auto Since = Term_->Table_.unwantedSince(Run);
     const OrderReply Reply =
-        Client_.stop(Row->Record_, Run, Term_->Token_, Row->Answers_.wait());
+        Client_.stop(Row->Record_, Run, Term_->Token_, Row->Answers_.timeout());
     Row->recordAnswer(Reply.Result_, SentAt, now());
     framework::log::info("run.stop")
         .field("task", Run.Task_.str())
--- a/src/cell/workersessions.h
+++ b/src/cell/workersessions.h
@@ -140,7 +140,7 @@
     const HoldOrder Order = nextHold(Row);
     const TimePoint SentAt = now();
     const HoldReply Reply =
-        Client_.hold(Row.Record_, Order, Order.Wait_ + Row.Answers_.wait());
+        Client_.hold(Row.Record_, Order, Order.Wait_ + Row.Answers_.timeout());
     Row.recordAnswer(Reply.Result_, SentAt + Order.Wait_, now());
     Term_->Metrics_.counter("holds_total").add();
     if (Term_->ended())
@@ -385,7 +385,7 @@
     Tracker_->startSent(Order.Run_, Order.DeadlineMs_);
     const TimePoint SentAt = now();
     const OrderReply Reply =
-        Client_.start(Row.Record_, Order, Row.Answers_.wait());
+        Client_.start(Row.Record_, Order, Row.Answers_.timeout());
     Row.recordAnswer(Reply.Result_, SentAt, now());
     Term_->Metrics_
         .counter("starts_total{result=\"" + std::string(nameOf(Reply.Result_)) +
--- a/src/cell/workertable.h
+++ b/src/cell/workertable.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "cell/celltypes.h"
-#include "framework/clock/answertime.h"
+#include "framework/clock/adaptivetimeout.h"
 #include "framework/clock/steadyclock.h"
 #include "framework/fibers/waiter.h"
 #include "scheduling/pacer.h"
@@ -85,7 +85,8 @@
   /// Runs that failed or hung there, fading.
   double Distrust_ = 0;
   framework::fibers::WaiterPtr Wake_;
-  framework::clock::AnswerTime Answers_{MinAnswerTimeout, MaxAnswerTimeout};
+  framework::clock::AdaptiveTimeout Answers_{MinAnswerTimeout,
+                                             MaxAnswerTimeout};
 
   /// The worker's clock now, by its last word.
   std::int64_t clockMs(TimePoint Now) const {
@@ -98,9 +99,9 @@
   /// before \p Expected was given for an end and tells nothing.
   void recordAnswer(OrderResult Result, TimePoint Expected, TimePoint Now) {
     if (Result == OrderResult::Unknown)
-      Answers_.missed();
+      Answers_.recordTimeout();
     else if (Now >= Expected)
-      Answers_.answered(Now - Expected);
+      Answers_.recordResponse(Now - Expected);
   }
 
   void updateClock(std::int64_t Told, TimePoint Now) {
--- a/src/entry/internal/entrysettings.cpp
+++ b/src/entry/internal/entrysettings.cpp
@@ -20,7 +20,7 @@
   const std::string Text = Reader.requiredString(Field);
   const auto Parsed = framework::http::parseAddress(Text);
   if (!Text.empty() && !Parsed)
-    Reader.fault(Field, "must be a numeric ip:port");
+    Reader.addError(Field, "must be a numeric ip:port");
   return Parsed.value_or(Address());
 }
 
@@ -30,13 +30,13 @@
     if (Parsed)
       Into.StoreEndpoints_.push_back(*Parsed);
     else
-      Reader.fault("endpoints", "must hold numeric ip:port addresses");
+      Reader.addError("endpoints", "must hold numeric ip:port addresses");
   }
   if (Into.StoreEndpoints_.empty())
-    Reader.fault("endpoints", "needs at least one address");
+    Reader.addError("endpoints", "needs at least one address");
   Into.StorePrefix_ = Reader.optionalString("prefix", "/laburnumspread/");
   if (!Into.StorePrefix_.ends_with('/'))
-    Reader.fault("prefix", "must end with '/'");
+    Reader.addError("prefix", "must end with '/'");
   Reader.finish();
 }
 
@@ -64,14 +64,14 @@
 void readLog(JsonReader Reader, EntrySettings &Into) {
   const std::string Format = Reader.optionalString("format", "kv");
   if (Format != "kv" && Format != "json")
-    Reader.fault("format", "must be kv or json");
+    Reader.addError("format", "must be kv or json");
   if (Format == "json")
     Into.LogFormat_ = framework::log::Format::Json;
   const std::string Level = Reader.optionalString("level", "info");
   if (absl::Status Parsed = framework::log::parseLevel(Level, Into.LogLevel_);
       !Parsed.ok())
-    Reader.fault("level", std::string_view(Parsed.message().data(),
-                                           Parsed.message().size()));
+    Reader.addError("level", std::string_view(Parsed.message().data(),
+                                              Parsed.message().size()));
   Reader.finish();
 }
 
@@ -81,7 +81,7 @@
     Key.Name_ = Item.requiredString("name");
     Key.Sha256_ = Item.requiredString("sha256");
     if (!Key.Sha256_.empty() && Key.Sha256_.size() != Sha256HexLength)
-      Item.fault("sha256", "must be 64 hexadecimal digits");
+      Item.addError("sha256", "must be 64 hexadecimal digits");
     Into.OperatorKeys_.push_back(std::move(Key));
   });
 }
@@ -97,7 +97,7 @@
   Listen.finish();
   for (const std::string &Seed : Reader.stringList("seeds")) {
     if (!framework::http::parseAddress(Seed))
-      Reader.fault("seeds", "must hold numeric ip:port addresses");
+      Reader.addError("seeds", "must hold numeric ip:port addresses");
     Result.Seeds_.push_back(Seed);
   }
   readStore(Reader.child("store", true), Result);
--- a/src/entry/internal/forwarder.cpp
+++ b/src/entry/internal/forwarder.cpp
@@ -29,7 +29,7 @@
   while (!Conns.empty()) {
     ConnectionPtr Conn = std::move(Conns.back());
     Conns.pop_back();
-    if (Conn->provenAt() >= Oldest && !Conn->stale())
+    if (Conn->lastReceivedAt() >= Oldest && !Conn->stale())
       return Conn;
   }
   return nullptr;
--- a/src/entry/internal/requestrunner.cpp
+++ b/src/entry/internal/requestrunner.cpp
@@ -333,7 +333,7 @@
 
 void RequestRunner::deliverStream(ActiveRequest &Active,
                                   const ForwardResult &Result) {
-  const auto Length = Result.Connection_->answerLength();
+  const auto Length = Result.Connection_->contentLength();
   const std::uint64_t Limit = State_.Settings_.AnswerBytes_;
   if (Length && *Length > Limit)
     return refuse(Active.Call_,
@@ -378,7 +378,7 @@
     if (!Active.Body_.Rest_) {
       // The exchange may be over before the caller goes; the token is reached
       // only through it.
-      Call.onCallerGone([&Active] { Active.Cancel_.cancel(); });
+      Call.onCallerDisconnected([&Active] { Active.Cancel_.cancel(); });
     }
     while (!Active.Finished_) {
       Problem Refusal;
@@ -390,7 +390,7 @@
         fail(Active, Refusal);
     }
   }
-  Call.onCallerGone(nullptr);
+  Call.onCallerDisconnected(nullptr);
   if (Listed)
     CancelTokens_.erase(*Listed);
   --InFlight_;
--- a/src/fleet/internal/resourcejson.cpp
+++ b/src/fleet/internal/resourcejson.cpp
@@ -59,7 +59,7 @@
   const std::string Text = Reader.optionalString(Field, Names.nameOf(Default));
   if (auto Value = Names.find(Text))
     return *Value;
-  Reader.fault(Field, Names.choices());
+  Reader.addError(Field, Names.choices());
   return Default;
 }
 
@@ -87,8 +87,9 @@
   const std::string Text = Reader.optionalString(Field, "");
   std::optional<CountOrPercent> Value = parseAmount(Text);
   if (!Value)
-    Reader.fault(Field, "must be a count or a percentage up to 100%, as \"3\" "
-                        "or \"10%\"");
+    Reader.addError(Field,
+                    "must be a count or a percentage up to 100%, as \"3\" "
+                    "or \"10%\"");
   return Value;
 }
 
@@ -102,7 +103,7 @@
 std::string readReference(JsonReader &Reader, std::string_view Field) {
   std::string Name = Reader.requiredString(Field);
   if (!Name.empty() && !validName(Name))
-    Reader.fault(Field, "is not a valid name");
+    Reader.addError(Field, "is not a valid name");
   return Name;
 }
 
@@ -219,7 +220,7 @@
   const bool Hex =
       Spec.Sha256_.find_first_not_of("0123456789abcdef") == std::string::npos;
   if (!Spec.Sha256_.empty() && (!Hex || Spec.Sha256_.size() != Sha256HexLength))
-    Reader.fault("sha256", "must be 64 lower-case hexadecimal digits");
+    Reader.addError("sha256", "must be 64 lower-case hexadecimal digits");
   return Spec;
 }
 
@@ -234,7 +235,7 @@
   Spec.AcceptedFailures_ = readCount(Reader, "acceptedFailures", 0, 0, MaxVms);
   Spec.Command_ = readEnum(Reader, "run", WaveCommandNames, WaveCommand::Run);
   if (Spec.FirstBatch_ > Spec.MaximumBatch_)
-    Reader.fault("firstBatch", "must not be above maximumBatch");
+    Reader.addError("firstBatch", "must not be above maximumBatch");
   return Spec;
 }
 
--- a/src/fleet/resourcejson.h
+++ b/src/fleet/resourcejson.h
@@ -42,14 +42,14 @@
                framework::settings::FieldErrors &Errors) {
   framework::settings::JsonReader Reader(Document, "", Errors);
   T Result;
-  Reader.ignore("kind");
-  Reader.ignore("status");
+  Reader.markKnown("kind");
+  Reader.markKnown("status");
   auto Meta = Reader.child("metadata", true);
   Result.Metadata_.Name_ = Meta.requiredString("name");
   if (!Result.Metadata_.Name_.empty() && !validName(Result.Metadata_.Name_))
-    Meta.fault("name", "must be 1 to 63 of a-z, 0-9, '-' and '.'");
-  Meta.ignore("generation");
-  Meta.ignore("resourceVersion");
+    Meta.addError("name", "must be 1 to 63 of a-z, 0-9, '-' and '.'");
+  Meta.markKnown("generation");
+  Meta.markKnown("resourceVersion");
   Meta.finish();
   auto Spec = Reader.child("spec", true);
   Result.Spec_ = readSpec(Spec, static_cast<const T *>(nullptr));
--- a/src/framework/fibers/asioscheduler.cpp
+++ b/src/framework/fibers/asioscheduler.cpp
@@ -9,7 +9,8 @@
 using TimePoint = std::chrono::steady_clock::time_point;
 
 AsioScheduler::AsioScheduler(boost::asio::io_context &Io)
-    : Io_(Io), Work_(Io.get_executor()), Wake_(Io), WakeAt_(TimePoint::max()) {}
+    : Io_(Io), WorkGuard_(Io.get_executor()), WakeTimer_(Io),
+      WakeAt_(TimePoint::max()) {}
 
 void AsioScheduler::awakened(boost::fibers::context *Fiber) noexcept {
   Fiber->ready_link(Ready_);
@@ -35,9 +36,9 @@
   if (Until != WakeAt_) {
     WakeAt_ = Until;
     // Setting the expiry cancels the wait before it.
-    Wake_.expires_at(Until);
+    WakeTimer_.expires_at(Until);
     if (Until != TimePoint::max())
-      Wake_.async_wait([this](const boost::system::error_code &Error) {
+      WakeTimer_.async_wait([this](const boost::system::error_code &Error) {
         if (!Error)
           WakeAt_ = TimePoint::max();
       });
--- a/src/framework/fibers/asioscheduler.h
+++ b/src/framework/fibers/asioscheduler.h
@@ -26,8 +26,8 @@
 private:
   boost::asio::io_context &Io_;
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
-      Work_;
-  boost::asio::steady_timer Wake_;
+      WorkGuard_;
+  boost::asio::steady_timer WakeTimer_;
   std::chrono::steady_clock::time_point WakeAt_;
   boost::fibers::scheduler::ready_queue_type Ready_;
 };
--- a/src/framework/http/httpclient.cpp
+++ b/src/framework/http/httpclient.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-constexpr std::size_t AnswerHeaderBytes = 16 * 1024;
-constexpr std::size_t PartBytes = 16 * 1024;
+constexpr std::size_t MaxResponseHeaderBytes = 16 * 1024;
+constexpr std::size_t BodyPartBytes = 16 * 1024;
 
 /// Unacknowledged data for this long ends a connection. A path that has
 /// forgotten the connection gives no error of its own; without this bound the
@@ -62,16 +62,16 @@
     if (Outcome.Error_)
       return toStatus(Outcome.Error_, "connect to " + To.str());
     setOptions();
-    heard();
+    noteReceived();
     return absl::OkStatus();
   }
 
   absl::Status send(const Request &Message, std::uint64_t Length,
                     clock::TimePoint Deadline) override {
     Parser_.emplace();
-    Parser_->header_limit(AnswerHeaderBytes);
+    Parser_->header_limit(MaxResponseHeaderBytes);
     Parser_->body_limit(boost::none);
-    Sent_ = false;
+    BytesSent_ = false;
     Finished_ = false;
     bhttp::request<bhttp::empty_body> Head;
     Head.version(11);
@@ -103,7 +103,7 @@
     });
     if (Outcome.Error_)
       return toStatus(Outcome.Error_, "read answer head");
-    heard();
+    noteReceived();
     Response Answer;
     Answer.Status_ = static_cast<int>(Parser_->get().result_int());
     for (const auto &Field : Parser_->get())
@@ -132,18 +132,18 @@
     Into.resize(Before + Max - Body.size);
     if (Outcome.Error_ && Outcome.Error_ != bhttp::error::need_buffer)
       return toStatus(Outcome.Error_, "read answer body");
-    heard();
+    noteReceived();
     Finished_ = Parser_->is_done();
     return !Finished_;
   }
 
-  std::optional<std::uint64_t> answerLength() const override {
+  std::optional<std::uint64_t> contentLength() const override {
     if (auto Length = Parser_->content_length())
       return *Length;
     return std::nullopt;
   }
 
-  bool bytesSent() const override { return Sent_; }
+  bool bytesSent() const override { return BytesSent_; }
 
   bool reusable() const override {
     return Finished_ && Stream_.socket().is_open() && Parser_->keep_alive() &&
@@ -160,7 +160,7 @@
     return Error != boost::asio::error::would_block;
   }
 
-  clock::TimePoint provenAt() const override { return ProvenAt_; }
+  clock::TimePoint lastReceivedAt() const override { return LastReceivedAt_; }
 
   void close() override {
     beast::error_code Ignored;
@@ -186,7 +186,7 @@
     const IoOutcome Outcome = await([&](auto Done) {
       boost::asio::async_write(Stream_, boost::asio::buffer(Bytes), Done);
     });
-    Sent_ = Outcome.Bytes_ > 0;
+    BytesSent_ = Outcome.Bytes_ > 0;
     if (Outcome.Error_)
       return toStatus(Outcome.Error_, "send request");
     return absl::OkStatus();
@@ -201,13 +201,13 @@
     Stream_.socket().set_option(UserTimeout, Ignored);
   }
 
-  void heard() { ProvenAt_ = clock::SystemClock().now(); }
+  void noteReceived() { LastReceivedAt_ = clock::SystemClock().now(); }
 
   beast::tcp_stream Stream_;
   beast::flat_buffer Buffer_;
   std::optional<bhttp::response_parser<bhttp::buffer_body>> Parser_;
-  clock::TimePoint ProvenAt_{};
-  bool Sent_ = false;
+  clock::TimePoint LastReceivedAt_{};
+  bool BytesSent_ = false;
   bool Finished_ = false;
 };
 
@@ -243,33 +243,33 @@
 Client::exchange(const Request &Message, clock::TimePoint HeadDeadline,
                  const std::function<clock::TimePoint()> &PartDeadline,
                  std::size_t MaxBody) {
-  auto Link = takeIdle();
-  if (!Link) {
-    Link = Connection::make(Io_);
-    if (absl::Status Status = Link->connect(To_, HeadDeadline); !Status.ok())
+  auto Conn = takeIdle();
+  if (!Conn) {
+    Conn = Connection::make(Io_);
+    if (absl::Status Status = Conn->connect(To_, HeadDeadline); !Status.ok())
       return absl::UnavailableError("not sent: " +
                                     std::string(Status.message()));
   }
   if (absl::Status Status =
-          Link->send(Message, Message.Body_.size(), HeadDeadline);
+          Conn->send(Message, Message.Body_.size(), HeadDeadline);
       !Status.ok())
     return Status;
-  absl::StatusOr<Response> Answer = Link->readHead(HeadDeadline);
+  absl::StatusOr<Response> Answer = Conn->readHead(HeadDeadline);
   if (!Answer.ok())
     return Answer.status();
-  if (Link->answerLength().value_or(0) > MaxBody)
+  if (Conn->contentLength().value_or(0) > MaxBody)
     return absl::ResourceExhaustedError("answer is too large");
   for (bool More = true; More;) {
     if (Answer->Body_.size() > MaxBody)
       return absl::ResourceExhaustedError("answer is too large");
     absl::StatusOr<bool> Next =
-        Link->readSome(Answer->Body_, PartBytes, PartDeadline());
+        Conn->readSome(Answer->Body_, BodyPartBytes, PartDeadline());
     if (!Next.ok())
       return bodyReadError(Next.status(), Answer->Body_.size());
     More = *Next;
   }
-  if (Link->reusable())
-    Idle_.push_back(std::move(Link));
+  if (Conn->reusable())
+    Idle_.push_back(std::move(Conn));
   return Answer;
 }
 
@@ -278,14 +278,14 @@
                const std::function<clock::TimePoint()> &PartDeadline,
                const std::function<bool(const Response &)> &OnHead,
                const std::function<bool(std::string_view)> &OnPart) {
-  auto Link = Connection::make(Io_);
-  if (absl::Status Status = Link->connect(To_, ConnectBy); !Status.ok())
+  auto Conn = Connection::make(Io_);
+  if (absl::Status Status = Conn->connect(To_, ConnectBy); !Status.ok())
     return Status;
   if (absl::Status Status =
-          Link->send(Message, Message.Body_.size(), ConnectBy);
+          Conn->send(Message, Message.Body_.size(), ConnectBy);
       !Status.ok())
     return Status;
-  absl::StatusOr<Response> Head = Link->readHead(ConnectBy);
+  absl::StatusOr<Response> Head = Conn->readHead(ConnectBy);
   if (!Head.ok())
     return Head.status();
   if (!OnHead(*Head))
@@ -293,7 +293,8 @@
   std::string Part;
   for (bool More = true; More;) {
     Part.clear();
-    absl::StatusOr<bool> Next = Link->readSome(Part, PartBytes, PartDeadline());
+    absl::StatusOr<bool> Next =
+        Conn->readSome(Part, BodyPartBytes, PartDeadline());
     if (!Next.ok())
       return Next.status();
     if (!Part.empty() && !OnPart(Part))
--- a/src/framework/http/httpclient.h
+++ b/src/framework/http/httpclient.h
@@ -37,7 +37,7 @@
   /// whether more may follow; an answer cut short is an error, never an end.
   virtual absl::StatusOr<bool> readSome(std::string &Into, std::size_t Max,
                                         clock::TimePoint Deadline) = 0;
-  virtual std::optional<std::uint64_t> answerLength() const = 0;
+  virtual std::optional<std::uint64_t> contentLength() const = 0;
 
   virtual bool bytesSent() const = 0;
 
@@ -49,7 +49,7 @@
   virtual bool stale() = 0;
 
   /// Last time the other end was heard on this connection.
-  virtual clock::TimePoint provenAt() const = 0;
+  virtual clock::TimePoint lastReceivedAt() const = 0;
 
   /// Ends all waiting operations with an error. Safe from any fiber.
   virtual void close() = 0;
--- a/src/framework/http/httpserver.cpp
+++ b/src/framework/http/httpserver.cpp
@@ -53,10 +53,10 @@
         Limits_(Limits), Buffer_(Limits.HeaderBytes_ + ReadBufferBytes) {}
 
   /// Serves requests until the connection ends or \p Stopping is set.
-  void run(const Server::Handler &Handle, const Server::FaultReply &OnFault,
+  void run(const Server::Handler &Handle, const Server::ErrorReply &OnError,
            const bool &Stopping) {
     while (!Broken_ && !Stopping) {
-      if (!readHeader(OnFault))
+      if (!readHeader(OnError))
         break;
       Handle(*this);
       if (!Answered_)
@@ -116,7 +116,7 @@
     const IoOutcome Outcome = timed(Limits_.IoTimeout_, [&](auto Done) {
       bhttp::async_write(Stream_, Message, Done);
     });
-    noteWrite(Outcome.Error_);
+    recordWriteResult(Outcome.Error_);
   }
 
   void beginReply(const Response &Head,
@@ -133,7 +133,7 @@
     const IoOutcome Outcome = timed(Limits_.IoTimeout_, [&](auto Done) {
       bhttp::async_write_header(Stream_, Serializer, Done);
     });
-    noteWrite(Outcome.Error_);
+    recordWriteResult(Outcome.Error_);
   }
 
   absl::Status write(std::string_view Part) override {
@@ -148,7 +148,7 @@
       else
         boost::asio::async_write(Stream_, Data, Done);
     });
-    noteWrite(Outcome.Error_);
+    recordWriteResult(Outcome.Error_);
     return Broken_ ? absl::UnavailableError("connection lost")
                    : absl::OkStatus();
   }
@@ -159,10 +159,10 @@
     const IoOutcome Outcome = timed(Limits_.IoTimeout_, [&](auto Done) {
       boost::asio::async_write(Stream_, bhttp::make_chunk_last(), Done);
     });
-    noteWrite(Outcome.Error_);
+    recordWriteResult(Outcome.Error_);
   }
 
-  void closeAfter() override { KeepAlive_ = false; }
+  void closeAfterReply() override { KeepAlive_ = false; }
 
   void abort() override {
     Broken_ = true;
@@ -170,9 +170,9 @@
     Stream_.close();
   }
 
-  void onCallerGone(std::function<void()> Gone) override {
-    CallerGone_ = std::move(Gone);
-    if (CallerGone_)
+  void onCallerDisconnected(std::function<void()> Callback) override {
+    OnCallerDisconnected_ = std::move(Callback);
+    if (OnCallerDisconnected_)
       watchForClose();
   }
 
@@ -182,26 +182,26 @@
   /// be told why it is refused.
   template <typename StartFn>
   IoOutcome timed(clock::Duration Time, StartFn &&Start) {
-    const std::uint64_t Mine = ++Operation_;
+    const std::uint64_t OperationId = ++CurrentOperation_;
     TimedOut_ = false;
     Timer_.expires_after(Time);
-    Timer_.async_wait(
-        [Self = shared_from_this(), Mine](const beast::error_code &Error) {
-          if (Error || Mine != Self->Operation_)
-            return;
-          Self->TimedOut_ = true;
-          beast::error_code Ignored;
-          Self->Stream_.cancel(Ignored);
-        });
+    Timer_.async_wait([Self = shared_from_this(),
+                       OperationId](const beast::error_code &Error) {
+      if (Error || OperationId != Self->CurrentOperation_)
+        return;
+      Self->TimedOut_ = true;
+      beast::error_code Ignored;
+      Self->Stream_.cancel(Ignored);
+    });
     IoOutcome Outcome = await(std::forward<StartFn>(Start));
-    ++Operation_;
+    ++CurrentOperation_;
     Timer_.cancel();
     if (TimedOut_ && Outcome.Error_)
       Outcome.Error_ = beast::error::timeout;
     return Outcome;
   }
 
-  bool readHeader(const Server::FaultReply &OnFault) {
+  bool readHeader(const Server::ErrorReply &OnError) {
     Parser_.emplace();
     Parser_->header_limit(Limits_.HeaderBytes_);
     Parser_->body_limit(Limits_.BodyBytes_);
@@ -213,8 +213,8 @@
       bhttp::async_read_header(Stream_, Buffer_, *Parser_, Done);
     });
     if (Outcome.Error_)
-      return replyToBadHeader(Outcome.Error_, OnFault);
-    takeHead();
+      return replyToBadHeader(Outcome.Error_, OnError);
+    captureHead();
     return true;
   }
 
@@ -235,26 +235,26 @@
   }
 
   bool replyToBadHeader(const beast::error_code &Error,
-                        const Server::FaultReply &OnFault) {
+                        const Server::ErrorReply &OnError) {
     KeepAlive_ = false;
     if (Error == bhttp::error::header_limit ||
         Error == bhttp::error::buffer_overflow)
-      reply(OnFault(431, "header is larger than the limit of " +
+      reply(OnError(431, "header is larger than the limit of " +
                              std::to_string(Limits_.HeaderBytes_) + " bytes"));
     else if (Error == beast::error::timeout)
-      reply(OnFault(408, "header was not sent in time"));
+      reply(OnError(408, "header was not sent in time"));
     else if (Error == bhttp::error::body_limit)
-      reply(OnFault(413, "body is larger than the limit of " +
+      reply(OnError(413, "body is larger than the limit of " +
                              std::to_string(Limits_.BodyBytes_) + " bytes"));
     else if (Error != bhttp::error::end_of_stream &&
              Error.category() ==
                  bhttp::make_error_code(bhttp::error::bad_method).category())
-      reply(OnFault(400, "malformed header: " + Error.message()));
-    drainBriefly();
+      reply(OnError(400, "malformed header: " + Error.message()));
+    drainInput();
     return false;
   }
 
-  void takeHead() {
+  void captureHead() {
     const auto &Message = Parser_->get();
     Head_ = Request();
     Head_.Method_ = std::string(Message.method_string());
@@ -271,11 +271,11 @@
 
   bool sendContinue() {
     ExpectsContinue_ = false;
-    bhttp::response<bhttp::empty_body> Go(bhttp::status::continue_, 11);
+    bhttp::response<bhttp::empty_body> Interim(bhttp::status::continue_, 11);
     const IoOutcome Outcome = timed(Limits_.IoTimeout_, [&](auto Done) {
-      bhttp::async_write(Stream_, Go, Done);
+      bhttp::async_write(Stream_, Interim, Done);
     });
-    noteWrite(Outcome.Error_);
+    recordWriteResult(Outcome.Error_);
     return !Broken_;
   }
 
@@ -291,15 +291,15 @@
     Into.keep_alive(KeepAlive_);
   }
 
-  void noteWrite(const beast::error_code &Error) {
+  void recordWriteResult(const beast::error_code &Error) {
     if (Error)
       Broken_ = true;
   }
 
   void finishExchange() {
-    CallerGone_ = nullptr;
+    OnCallerDisconnected_ = nullptr;
     if (!Broken_ && !KeepAlive_) {
-      drainBriefly();
+      drainInput();
       Broken_ = true;
     }
   }
@@ -307,16 +307,16 @@
   /// Reads and drops what the caller still sends, within bounds. Closing a
   /// socket with unread input makes the kernel reset the connection, and the
   /// caller would lose the answer that it was just sent.
-  void drainBriefly() {
+  void drainInput() {
     if (Broken_)
       return;
     beast::error_code Ignored;
     Stream_.shutdown(tcp::socket::shutdown_send, Ignored);
     std::size_t Drained = 0;
-    std::array<char, 4096> Sink;
-    while (Drained < DrainBytes) {
+    std::array<char, 4096> Discarded;
+    while (Drained < MaxDrainBytes) {
       const IoOutcome Outcome = timed(DrainTime, [&](auto Done) {
-        Stream_.async_read_some(boost::asio::buffer(Sink), Done);
+        Stream_.async_read_some(boost::asio::buffer(Discarded), Done);
       });
       if (Outcome.Error_)
         return;
@@ -330,7 +330,8 @@
     Stream_.async_wait(
         tcp::socket::wait_read,
         [Self, Exchange](const beast::error_code &Error) {
-          if (Error || Exchange != Self->Exchanges_ || !Self->CallerGone_)
+          if (Error || Exchange != Self->Exchanges_ ||
+              !Self->OnCallerDisconnected_)
             return;
           char Byte;
           beast::error_code PeekError;
@@ -340,26 +341,26 @@
           // A readable byte is a pipelined request: stop watching.
           if (!PeekError || PeekError == boost::asio::error::would_block)
             return;
-          auto Gone = std::move(Self->CallerGone_);
-          Self->CallerGone_ = nullptr;
-          Gone();
+          auto Callback = std::move(Self->OnCallerDisconnected_);
+          Self->OnCallerDisconnected_ = nullptr;
+          Callback();
         });
   }
 
   static constexpr std::size_t FirstReadBytes = 2048;
-  static constexpr std::size_t DrainBytes = 1024 * 1024;
+  static constexpr std::size_t MaxDrainBytes = 1024 * 1024;
   static constexpr clock::Duration DrainTime = std::chrono::milliseconds(500);
 
   tcp::socket Stream_;
   boost::asio::steady_timer Timer_;
-  std::uint64_t Operation_ = 0;
+  std::uint64_t CurrentOperation_ = 0;
   bool TimedOut_ = false;
   const ServerLimits &Limits_;
   beast::flat_buffer Buffer_;
   std::optional<bhttp::request_parser<bhttp::buffer_body>> Parser_;
   std::optional<bhttp::response<bhttp::empty_body>> Streaming_;
   Request Head_;
-  std::function<void()> CallerGone_;
+  std::function<void()> OnCallerDisconnected_;
   std::uint64_t Exchanges_ = 0;
   bool KeepAlive_ = false;
   bool ExpectsContinue_ = false;
@@ -371,9 +372,9 @@
 
 struct Server::State : std::enable_shared_from_this<Server::State> {
   State(boost::asio::io_context &Io, ServerLimits Limits, Handler Handle,
-        FaultReply OnFault)
+        ErrorReply OnError)
       : Acceptor_(Io), Limits_(Limits), Handle_(std::move(Handle)),
-        OnFault_(std::move(OnFault)) {}
+        OnError_(std::move(OnError)) {}
 
   void acceptLoop() {
     while (!Stopping_) {
@@ -397,7 +398,7 @@
       return;
     Sessions_.insert(Session);
     fibers::spawn([Self = shared_from_this(), Session] {
-      Session->run(Self->Handle_, Self->OnFault_, Self->Stopping_);
+      Session->run(Self->Handle_, Self->OnError_, Self->Stopping_);
       Self->Sessions_.erase(Session);
     });
   }
@@ -405,15 +406,15 @@
   tcp::acceptor Acceptor_;
   ServerLimits Limits_;
   Handler Handle_;
-  FaultReply OnFault_;
+  ErrorReply OnError_;
   std::set<std::shared_ptr<ServerSession>> Sessions_;
   bool Stopping_ = false;
 };
 
 Server::Server(boost::asio::io_context &Io, ServerLimits Limits, Handler Handle,
-               FaultReply OnFault)
+               ErrorReply OnError)
     : State_(std::make_shared<State>(Io, Limits, std::move(Handle),
-                                     std::move(OnFault))) {}
+                                     std::move(OnError))) {}
 
 Server::~Server() { stopAccepting(); }
 
--- a/src/framework/http/httpserver.h
+++ b/src/framework/http/httpserver.h
@@ -44,14 +44,14 @@
 
   /// Closes the connection after the answer, so that the caller's next request
   /// goes elsewhere.
-  virtual void closeAfter() = 0;
+  virtual void closeAfterReply() = 0;
 
   /// Breaks the connection so that the caller sees an incomplete answer.
   virtual void abort() = 0;
 
-  /// Calls \p Gone once if the caller closes its connection before the answer
-  /// has been sent.
-  virtual void onCallerGone(std::function<void()> Gone) = 0;
+  /// Calls \p Callback once if the caller closes its connection before the
+  /// answer has been sent.
+  virtual void onCallerDisconnected(std::function<void()> Callback) = 0;
 };
 
 struct ServerLimits {
@@ -69,10 +69,10 @@
 public:
   using Handler = std::function<void(Exchange &)>;
   /// Makes the answer to a request whose header could not be read.
-  using FaultReply = std::function<Response(int Status, std::string Reason)>;
+  using ErrorReply = std::function<Response(int Status, std::string Reason)>;
 
   Server(boost::asio::io_context &Io, ServerLimits Limits, Handler Handle,
-         FaultReply OnFault);
+         ErrorReply OnError);
   ~Server();
 
   /// Binds and starts accepting. Port 0 takes a free one, see port().
--- a/src/framework/http/httptypes.cpp
+++ b/src/framework/http/httptypes.cpp
@@ -90,13 +90,13 @@
 
 Target parseTarget(std::string_view Text) {
   Target Result;
-  const std::size_t Mark = std::min(Text.find('?'), Text.size());
-  splitAt(Text.substr(0, Mark), '/', [&](std::string_view Segment) {
+  const std::size_t QueryStart = std::min(Text.find('?'), Text.size());
+  splitAt(Text.substr(0, QueryStart), '/', [&](std::string_view Segment) {
     Result.Segments_.push_back(percentDecoded(Segment));
   });
-  if (Mark == Text.size())
+  if (QueryStart == Text.size())
     return Result;
-  splitAt(Text.substr(Mark + 1), '&', [&](std::string_view Pair) {
+  splitAt(Text.substr(QueryStart + 1), '&', [&](std::string_view Pair) {
     const std::size_t Equals = std::min(Pair.find('='), Pair.size());
     const std::string_view Value =
         Equals < Pair.size() ? Pair.substr(Equals + 1) : std::string_view();
--- a/src/framework/log/log.cpp
+++ b/src/framework/log/log.cpp
@@ -1,7 +1,7 @@
 #include "framework/log/log.h"
 
 #include "framework/clock/steadyclock.h"
-#include "framework/log/linebudget.h"
+#include "framework/log/logratelimiter.h"
 #include "framework/log/outputbuffer.h"
 
 #include <unistd.h>
@@ -22,13 +22,13 @@
   return Out;
 }
 
-LineBudget &budget() {
-  static LineBudget Budget;
-  return Budget;
+LogRateLimiter &rateLimiter() {
+  static LogRateLimiter Limiter;
+  return Limiter;
 }
 
 /// Takes formatted lines from the logging library.
-class ToOutput : public el::LogDispatchCallback {
+class OutputBufferCallback : public el::LogDispatchCallback {
 protected:
   void handle(const el::LogDispatchData *Data) override {
     const el::LogMessage *Message = Data->logMessage();
@@ -99,11 +99,12 @@
   el::Loggers::reconfigureAllLoggers(Settings);
   el::Helpers::uninstallLogDispatchCallback<
       el::base::DefaultLogDispatchCallback>("DefaultLogDispatchCallback");
-  el::Helpers::installLogDispatchCallback<ToOutput>("ToOutput");
+  el::Helpers::installLogDispatchCallback<OutputBufferCallback>("ToOutput");
 }
 
 void flush() {
-  const std::uint64_t LeftOut = budget().takeLeftOut() + output().takeDropped();
+  const std::uint64_t LeftOut =
+      rateLimiter().takeSuppressed() + output().takeDropped();
   if (LeftOut > 0)
     LOG(WARNING) << "level=warning event=log.lines_left_out count=" << LeftOut;
   output().flush();
@@ -128,8 +129,8 @@
 Event::Event(Level Severity, std::string_view Name)
     : Severity_(Severity),
       Enabled_(Severity >= Lowest &&
-               budget().admit(Severity >= Level::Warning,
-                              clock::SteadyClock().now())) {
+               rateLimiter().admit(Severity >= Level::Warning,
+                                   clock::SteadyClock().now())) {
   if (!Enabled_)
     return;
   if (LineFormat == Format::Json) {
--- a/src/framework/log/outputbuffer.cpp
+++ b/src/framework/log/outputbuffer.cpp
@@ -7,12 +7,12 @@
 namespace laburnumspread::framework::log {
 
 void OutputBuffer::add(std::string_view Line) {
-  if (Pending_.size() + Line.size() > Most) {
+  if (Pending_.size() + Line.size() > MaxBytes) {
     ++Dropped_;
     return;
   }
   Pending_ += Line;
-  if (Pending_.size() >= Piece)
+  if (Pending_.size() >= MaxWriteBytes)
     flush();
 }
 
@@ -22,8 +22,9 @@
     pollfd Ready{Descriptor_, POLLOUT, 0};
     if (poll(&Ready, 1, 0) <= 0 || !(Ready.revents & POLLOUT))
       break;
-    const ssize_t Done = write(Descriptor_, Pending_.data() + Written,
-                               std::min(Piece, Pending_.size() - Written));
+    const ssize_t Done =
+        write(Descriptor_, Pending_.data() + Written,
+              std::min(MaxWriteBytes, Pending_.size() - Written));
     if (Done <= 0)
       break;
     Written += static_cast<std::size_t>(Done);
--- a/src/framework/log/outputbuffer.h
+++ b/src/framework/log/outputbuffer.h
@@ -11,9 +11,9 @@
 /// not fit while the reader stands still is dropped and counted.
 class OutputBuffer {
 public:
-  static constexpr std::size_t Most = 256 * 1024;
+  static constexpr std::size_t MaxBytes = 256 * 1024;
   /// A pipe takes this many bytes without waiting when it is writable at all.
-  static constexpr std::size_t Piece = 4096;
+  static constexpr std::size_t MaxWriteBytes = 4096;
 
   explicit OutputBuffer(int Descriptor) : Descriptor_(Descriptor) {}
 
--- a/src/framework/log/tests/outputbuffertest.cpp
+++ b/src/framework/log/tests/outputbuffertest.cpp
@@ -38,13 +38,13 @@
 
 // Requests would wait for whoever reads the log: a terminal that was stopped,
 // a collector that hangs.
-BOOST_AUTO_TEST_CASE(ReaderThatStandsStillCostsLinesOnly) {
+BOOST_AUTO_TEST_CASE(BlockedReaderDropsLinesWithoutWaiting) {
   Pipe Reader;
   OutputBuffer Out(Reader.Ends_[1]);
   const std::string Line(1000, 'x');
   for (int I = 0; I < 1000; ++I)
     Out.add(Line);
-  BOOST_TEST(Out.size() <= OutputBuffer::Most);
+  BOOST_TEST(Out.size() <= OutputBuffer::MaxBytes);
   BOOST_TEST(Out.takeDropped() > 0u);
   BOOST_TEST(Out.takeDropped() == 0u);
   // It reads again: what was kept comes, whole.
--- a/src/framework/metrics/metrics.cpp
+++ b/src/framework/metrics/metrics.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr double UpperQuantile = 0.99;
+constexpr double HighQuantile = 0.99;
 
 /// The name before its labels.
 std::string_view familyOf(std::string_view Name) {
@@ -34,24 +34,25 @@
   return std::string(Family) + std::string(Suffix) + Name.substr(Family.size());
 }
 
-template <typename Table, typename Writer>
-void writeFamilies(std::ostringstream &Out, const Table &Rows,
+template <typename MetricMap, typename Writer>
+void writeFamilies(std::ostringstream &Out, const MetricMap &Metrics,
                    std::string_view Type, Writer &&Write) {
-  std::string_view Last;
-  for (const auto &[Name, Value] : Rows) {
-    if (familyOf(Name) != Last) {
-      Last = familyOf(Name);
-      Out << "# TYPE " << Last << ' ' << Type << '\n';
+  std::string_view LastFamily;
+  for (const auto &[Name, Value] : Metrics) {
+    if (familyOf(Name) != LastFamily) {
+      LastFamily = familyOf(Name);
+      Out << "# TYPE " << LastFamily << ' ' << Type << '\n';
     }
     Write(Name, Value);
   }
 }
 
-template <typename Table> auto &findOrAdd(Table &Rows, std::string_view Name) {
-  const auto Found = Rows.find(Name);
-  if (Found != Rows.end())
+template <typename MetricMap>
+auto &findOrAdd(MetricMap &Metrics, std::string_view Name) {
+  const auto Found = Metrics.find(Name);
+  if (Found != Metrics.end())
     return Found->second;
-  return Rows.try_emplace(std::string(Name)).first->second;
+  return Metrics.try_emplace(std::string(Name)).first->second;
 }
 
 } // namespace
@@ -59,9 +60,9 @@
 struct Summary::Accumulators {
   acc::accumulator_set<double, acc::stats<acc::tag::count, acc::tag::sum,
                                           acc::tag::p_square_quantile>>
-      Middle_{acc::quantile_probability = 0.5};
-  acc::accumulator_set<double, acc::stats<acc::tag::p_square_quantile>> Upper_{
-      acc::quantile_probability = UpperQuantile};
+      Median_{acc::quantile_probability = 0.5};
+  acc::accumulator_set<double, acc::stats<acc::tag::p_square_quantile>>
+      Percentile99_{acc::quantile_probability = HighQuantile};
 };
 
 Summary::Summary() : Accumulators_(std::make_unique<Accumulators>()) {}
@@ -69,19 +70,19 @@
 Summary::Summary(Summary &&) noexcept = default;
 
 void Summary::record(double Value) {
-  Accumulators_->Middle_(Value);
-  Accumulators_->Upper_(Value);
+  Accumulators_->Median_(Value);
+  Accumulators_->Percentile99_(Value);
 }
 
 std::uint64_t Summary::count() const {
-  return acc::count(Accumulators_->Middle_);
+  return acc::count(Accumulators_->Median_);
 }
-double Summary::sum() const { return acc::sum(Accumulators_->Middle_); }
+double Summary::sum() const { return acc::sum(Accumulators_->Median_); }
 double Summary::median() const {
-  return acc::p_square_quantile(Accumulators_->Middle_);
+  return acc::p_square_quantile(Accumulators_->Median_);
 }
 double Summary::percentile99() const {
-  return acc::p_square_quantile(Accumulators_->Upper_);
+  return acc::p_square_quantile(Accumulators_->Percentile99_);
 }
 
 void Histogram::record(double Seconds) {
@@ -130,7 +131,7 @@
                 [&](const std::string &Name, const Histogram &Value) {
                   for (std::size_t I = 0; I < Histogram::Bounds.size(); ++I)
                     Out << Name << "_bucket{le=\"" << Histogram::Bounds[I]
-                        << "\"} " << Value.atMost(I) << '\n';
+                        << "\"} " << Value.cumulativeCount(I) << '\n';
                   Out << Name << "_bucket{le=\"+Inf\"} " << Value.count()
                       << '\n'
                       << Name << "_sum " << Value.sum() << '\n'
--- a/src/framework/metrics/metrics.h
+++ b/src/framework/metrics/metrics.h
@@ -60,7 +60,7 @@
   std::uint64_t count() const { return Count_; }
   double sum() const { return Sum_; }
   /// How many were at or below Bounds[\p I].
-  std::uint64_t atMost(std::size_t I) const { return Buckets_[I]; }
+  std::uint64_t cumulativeCount(std::size_t I) const { return Buckets_[I]; }
 
 private:
   std::array<std::uint64_t, Bounds.size()> Buckets_{};
--- a/src/framework/settings/jsonreader.cpp
+++ b/src/framework/settings/jsonreader.cpp
@@ -92,7 +92,7 @@
   return fieldPath(Name) + "[" + std::to_string(Index) + "]";
 }
 
-void JsonReader::fault(std::string_view Name, std::string_view Reason) {
+void JsonReader::addError(std::string_view Name, std::string_view Reason) {
   Errors_.push_back({fieldPath(Name), std::string(Reason)});
 }
 
@@ -101,19 +101,19 @@
 }
 
 const json::value *JsonReader::find(std::string_view Name) {
-  ignore(Name);
+  markKnown(Name);
   return Object_->if_contains(Name);
 }
 
 std::string JsonReader::requiredString(std::string_view Name) {
   if (!has(Name)) {
-    ignore(Name);
-    fault(Name, "is required");
+    markKnown(Name);
+    addError(Name, "is required");
     return {};
   }
   std::string Text = optionalString(Name, "");
   if (Text.empty() && find(Name)->is_string())
-    fault(Name, "must not be empty");
+    addError(Name, "must not be empty");
   return Text;
 }
 
@@ -123,7 +123,7 @@
   if (!Value)
     return std::string(Default);
   if (!Value->is_string()) {
-    fault(Name, "must be a string");
+    addError(Name, "must be a string");
     return std::string(Default);
   }
   return std::string(Value->get_string());
@@ -131,8 +131,8 @@
 
 std::int64_t JsonReader::requiredInt(std::string_view Name, Range Allowed) {
   if (!has(Name)) {
-    ignore(Name);
-    fault(Name, "is required");
+    markKnown(Name);
+    addError(Name, "is required");
     return Allowed.Low_;
   }
   return optionalInt(Name, Allowed.Low_, Allowed);
@@ -147,11 +147,11 @@
   const auto Number =
       Value->is_double() ? 0 : Value->to_number<std::int64_t>(NotExact);
   if (Value->is_double() || NotExact) {
-    fault(Name, "must be a whole number");
+    addError(Name, "must be a whole number");
     return Default;
   }
   if (Number < Allowed.Low_ || Number > Allowed.High_) {
-    fault(Name, rangeText(Allowed) + ", is " + std::to_string(Number));
+    addError(Name, rangeText(Allowed) + ", is " + std::to_string(Number));
     return Default;
   }
   return Number;
@@ -163,13 +163,13 @@
   if (!Value)
     return Default;
   if (!Value->is_number()) {
-    fault(Name, "must be a number");
+    addError(Name, "must be a number");
     return Default;
   }
   const double Number = Value->to_number<double>();
   if (Number < Low || Number > High) {
-    fault(Name, "must be between " + std::to_string(Low) + " and " +
-                    std::to_string(High));
+    addError(Name, "must be between " + std::to_string(Low) + " and " +
+                       std::to_string(High));
     return Default;
   }
   return Number;
@@ -180,7 +180,7 @@
   if (!Value)
     return Default;
   if (!Value->is_bool()) {
-    fault(Name, "must be true or false");
+    addError(Name, "must be true or false");
     return Default;
   }
   return Value->get_bool();
@@ -190,7 +190,7 @@
   static const json::value Empty = json::object();
   const json::value *Value = find(Name);
   if (!Value && Required)
-    fault(Name, "is required");
+    addError(Name, "is required");
   return {Value ? *Value : Empty, fieldPath(Name), Errors_};
 }
 
@@ -199,7 +199,7 @@
   if (!Value)
     return nullptr;
   if (!Value->is_array()) {
-    fault(Name, "must be an array");
+    addError(Name, "must be an array");
     return nullptr;
   }
   return &Value->get_array();
@@ -223,7 +223,7 @@
   for (const auto &Field : *Object_) {
     const std::string_view Name(Field.key().data(), Field.key().size());
     if (!Known_.contains(Name))
-      fault(Name, "unknown field");
+      addError(Name, "unknown field");
   }
 }
 
--- a/src/framework/settings/jsonreader.h
+++ b/src/framework/settings/jsonreader.h
@@ -69,10 +69,10 @@
   std::vector<std::string> stringList(std::string_view Name);
 
   /// Marks a field as known without reading it.
-  void ignore(std::string_view Name) { Known_.insert(std::string(Name)); }
+  void markKnown(std::string_view Name) { Known_.insert(std::string(Name)); }
 
   /// Notes a fault of field \p Name.
-  void fault(std::string_view Name, std::string_view Reason);
+  void addError(std::string_view Name, std::string_view Reason);
 
   /// Notes a fault for each field that was not asked for.
   void finish();
--- a/src/framework/settings/settingsfile.cpp
+++ b/src/framework/settings/settingsfile.cpp
@@ -9,8 +9,8 @@
 constexpr std::size_t CurveKeyLength = 40;
 } // namespace
 
-std::string faultLines(const FieldErrors &Errors, std::string_view Text,
-                       const std::string &File) {
+std::string formatErrors(const FieldErrors &Errors, std::string_view Text,
+                         const std::string &File) {
   std::string Lines;
   for (const auto &Error : Errors) {
     if (!Lines.empty())
@@ -35,7 +35,7 @@
 std::string readCurveKey(JsonReader &Reader, std::string_view Field) {
   std::string Key = Reader.requiredString(Field);
   if (!Key.empty() && Key.size() != CurveKeyLength)
-    Reader.fault(Field, "must be a Z85 key of 40 characters");
+    Reader.addError(Field, "must be a Z85 key of 40 characters");
   return Key;
 }
 
--- a/src/framework/settings/settingsfile.h
+++ b/src/framework/settings/settingsfile.h
@@ -7,8 +7,8 @@
 namespace laburnumspread::framework::settings {
 
 /// One line for each fault: "file:line: field: reason".
-std::string faultLines(const FieldErrors &Errors, std::string_view Text,
-                       const std::string &File);
+std::string formatErrors(const FieldErrors &Errors, std::string_view Text,
+                         const std::string &File);
 
 /// Reads settings from \p Text with \p ReadFields, which is given a reader of
 /// the whole document. All faults are in the error.
@@ -24,7 +24,7 @@
   JsonReader Reader(*Document, "", Errors);
   Settings Result = ReadFields(Reader);
   if (!Errors.empty())
-    return absl::InvalidArgumentError(faultLines(Errors, Text, File));
+    return absl::InvalidArgumentError(formatErrors(Errors, Text, File));
   return Result;
 }
 
--- a/src/framework/settings/tests/settingswatchtest.cpp
+++ b/src/framework/settings/tests/settingswatchtest.cpp
@@ -30,7 +30,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(SettingsWatchTest, TempFile)
 
-BOOST_AUTO_TEST_CASE(OnlyAnotherTextIsAChange) {
+BOOST_AUTO_TEST_CASE(ReportsOnlyChangedContent) {
   write("a");
   SettingsWatch Watch(Name_);
   BOOST_TEST(!Watch.changed());
@@ -41,7 +41,7 @@
   BOOST_TEST(!Watch.changed());
 }
 
-BOOST_AUTO_TEST_CASE(FileThatIsBeingReplacedIsNoChange) {
+BOOST_AUTO_TEST_CASE(MissingFileIsNotAChange) {
   write("a");
   SettingsWatch Watch(Name_);
   std::remove(Name_.c_str());
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "framework/clock/answertime.h"
+#include "framework/clock/adaptivetimeout.h"
 #include "framework/fibers/waiter.h"
 #include "jobs/eventcodec.h"
 #include "journal/leadership.h"
@@ -221,9 +221,9 @@
       Guarded.Compares_.front() = headRevisionIs(Token);
       const TimePoint Asked = SteadyClock().now();
       const auto Written =
-          Store_.commit(Guarded, wallDeadline(Answers_.wait()));
+          Store_.commit(Guarded, wallDeadline(Answers_.timeout()));
       if (Written.ok())
-        Answers_.answered(SteadyClock().now() - Asked);
+        Answers_.recordResponse(SteadyClock().now() - Asked);
       if (Written.ok() && Written->Succeeded_) {
         Lead_.recordConfirmation(Asked);
         return Written->StoreRevision_;
@@ -238,7 +238,7 @@
       ++Counters_.Retries_;
       Refused_ = absl::IsResourceExhausted(Written.status());
       if (absl::IsDeadlineExceeded(Written.status()))
-        Answers_.missed();
+        Answers_.recordTimeout();
       else
         framework::fibers::sleepFor(RetryPause);
     }
@@ -250,7 +250,7 @@
   absl::StatusOr<fleet::Revision> resolveOutcome(const std::string &Key,
                                                  const std::string &Value) {
     const auto Read =
-        Store_.range(Key, fleet::Revision(0), wallDeadline(Answers_.wait()));
+        Store_.range(Key, fleet::Revision(0), wallDeadline(Answers_.timeout()));
     if (!Read.ok())
       return Read.status();
     for (const store::KeyValue &Item : Read->Items_)
@@ -290,7 +290,8 @@
   std::optional<TimePoint> PendingSince_;
   bool Refused_ = false;
   Duration TypicalCommitTime_{};
-  framework::clock::AnswerTime Answers_{MinAnswerTimeout, MaxAnswerTimeout};
+  framework::clock::AdaptiveTimeout Answers_{MinAnswerTimeout,
+                                             MaxAnswerTimeout};
   JournalCounters Counters_;
 };
 
--- a/standin/endpoint.cpp
+++ b/standin/endpoint.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr auto SilentTime = 60s;
-constexpr std::size_t OversizeBytes = 64 * 1024 * 1024;
+constexpr auto SilentDuration = 60s;
+constexpr std::size_t OversizeResponseBytes = 64 * 1024 * 1024;
 
-std::int64_t workMillis(const std::string &Body) {
+std::int64_t parseWorkMillis(const std::string &Body) {
   constexpr std::string_view Field = "\"workMs\":";
   const std::size_t At = Body.find(Field);
   if (At == std::string::npos)
@@ -29,14 +29,14 @@
   return Millis;
 }
 
-void refuse(http::Exchange &Call, std::string_view Why) {
+void refuse(http::Exchange &Call, std::string_view Reason) {
   http::Response Answer;
   Answer.Status_ = 503;
-  Answer.Headers_.add("Endpoint-Refusal", Why);
+  Answer.Headers_.add("Endpoint-Refusal", Reason);
   Call.reply(Answer);
 }
 
-TimePoint leaseOf(const http::Request &Head) {
+TimePoint parseTaskLease(const http::Request &Head) {
   const auto Text = Head.Headers_.find("Task-Lease-Until");
   if (!Text)
     return TimePoint::max();
@@ -65,17 +65,17 @@
     ++Ledger_.RefusedBusy_;
     return refuse(Call, "busy");
   }
-  if (leaseOf(Call.head()) <= SystemClock().now()) {
+  if (parseTaskLease(Call.head()) <= SystemClock().now()) {
     ++Ledger_.RefusedLease_;
     return refuse(Call, "lease-ended");
   }
   ++Busy_;
-  work(Call, Body);
+  execute(Call, Body);
   --Busy_;
 }
 
-void Endpoint::work(http::Exchange &Call, const std::string &Body) {
-  const EndpointFault Fault = Faults_.of(Vm_);
+void Endpoint::execute(http::Exchange &Call, const std::string &Body) {
+  const EndpointFault Fault = Faults_.endpointFault(Vm_);
   const http::Headers &Fields = Call.head().Headers_;
   const std::string Key(Fields.find("Idempotency-Key").value_or(""));
   const std::string Team(Fields.find("Request-Team").value_or(""));
@@ -85,20 +85,21 @@
     ++Ledger_.StartsByKey_[Team + "/" + Key];
   auto &Running = Ledger_.RunningByTeam_[Team];
   ++Running;
-  Ledger_.MostByTeam_[Team] = std::max(Ledger_.MostByTeam_[Team], Running);
+  Ledger_.PeakRunningByTeam_[Team] =
+      std::max(Ledger_.PeakRunningByTeam_[Team], Running);
 
-  auto Gone = std::make_shared<framework::fibers::Waiter>();
-  Call.onCallerGone([Gone] { Gone->signal(); });
+  auto Disconnected = std::make_shared<framework::fibers::Waiter>();
+  Call.onCallerDisconnected([Disconnected] { Disconnected->signal(); });
   const TimePoint Start = SystemClock().now();
-  auto WorkTime = std::chrono::milliseconds(workMillis(Body));
+  auto WorkTime = std::chrono::milliseconds(parseWorkMillis(Body));
   if (Fault.Mode_ == EndpointMode::Silent)
-    WorkTime = SilentTime;
+    WorkTime = SilentDuration;
   if (Fault.Mode_ == EndpointMode::Fail)
     WorkTime = 0ms;
   const TimePoint Done = Start + WorkTime;
-  const TimePoint Lease = leaseOf(Call.head());
+  const TimePoint Lease = parseTaskLease(Call.head());
   const bool Cancelled =
-      WorkTime > 0ms && Gone->waitUntil(std::min(Done, Lease));
+      WorkTime > 0ms && Disconnected->waitUntil(std::min(Done, Lease));
   --Running;
   if (Cancelled || Lease < Done) {
     ++Ledger_.Stopped_;
@@ -115,7 +116,7 @@
 }
 
 void Endpoint::answer(http::Exchange &Call, const std::string &Body) {
-  const EndpointFault Fault = Faults_.of(Vm_);
+  const EndpointFault Fault = Faults_.endpointFault(Vm_);
   http::Response Answer;
   Answer.Status_ = Fault.Mode_ == EndpointMode::Fail ? 500 : 200;
   Answer.Headers_.add("Content-Type", "application/json");
@@ -128,7 +129,8 @@
   if (Fault.Mode_ == EndpointMode::Oversize) {
     Call.beginReply(Answer, std::nullopt);
     const std::string Part(64 * 1024, 'x');
-    for (std::size_t Sent = 0; Sent < OversizeBytes; Sent += Part.size())
+    for (std::size_t Sent = 0; Sent < OversizeResponseBytes;
+         Sent += Part.size())
       if (!Call.write(Part).ok())
         return;
     return Call.endReply();
--- a/standin/endpoint.h
+++ b/standin/endpoint.h
@@ -23,7 +23,7 @@
   void handle(framework::http::Exchange &Call);
 
 private:
-  void work(framework::http::Exchange &Call, const std::string &Body);
+  void execute(framework::http::Exchange &Call, const std::string &Body);
   void answer(framework::http::Exchange &Call, const std::string &Body);
 
   std::string Vm_;
--- a/standin/faults.h
+++ b/standin/faults.h
@@ -39,9 +39,9 @@
   std::int64_t BadReboots_ = 0;
   std::map<std::string, EndpointFault> Endpoints_;
 
-  EndpointFault of(const std::string &Vm) const {
-    const auto At = Endpoints_.find(Vm);
-    return At == Endpoints_.end() ? EndpointFault() : At->second;
+  EndpointFault endpointFault(const std::string &Vm) const {
+    const auto It = Endpoints_.find(Vm);
+    return It == Endpoints_.end() ? EndpointFault() : It->second;
   }
 };
 
--- a/standin/kvservice.cpp
+++ b/standin/kvservice.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 
-std::string bytesAt(const json::object &Object, std::string_view Name) {
+std::string decodedField(const json::object &Object, std::string_view Name) {
   const json::value *Value = Object.if_contains(Name);
   if (!Value || !Value->is_string())
     return {};
   return base64Decode(std::string_view(Value->get_string())).value_or("");
 }
 
-std::int64_t numberAt(const json::object &Object, std::string_view Name) {
+std::int64_t integerField(const json::object &Object, std::string_view Name) {
   const json::value *Value = Object.if_contains(Name);
   if (!Value)
     return 0;
@@ -102,15 +102,15 @@
   else if (Path == "/kv/put")
     Answer = apply({{"request_put", *Request}});
   else if (Path == "/kv/compaction")
-    State_.compact(numberAt(*Request, "revision"));
+    State_.compact(integerField(*Request, "revision"));
   else if (Path.starts_with("/lease/"))
     Answer = lease(Path.substr(7), *Request);
   else
     return replyJson(Call, 404, json::object{{"message", "not found"}});
-  const bool Wrote = State_.revision() != Before;
-  if (Wrote)
+  const bool Modified = State_.revision() != Before;
+  if (Modified)
     Changed_.notify_all();
-  if (Wrote && Faults_.LoseAnswers_ > 0) {
+  if (Modified && Faults_.LoseAnswers_ > 0) {
     --Faults_.LoseAnswers_;
     return Call.abort();
   }
@@ -121,35 +121,36 @@
 }
 
 json::object KvService::range(const json::object &Request) {
-  const std::string From = bytesAt(Request, "key");
-  const std::string To = bytesAt(Request, "range_end");
-  const std::int64_t Since = numberAt(Request, "min_mod_revision");
+  const std::string From = decodedField(Request, "key");
+  const std::string To = decodedField(Request, "range_end");
+  const std::int64_t MinRevision = integerField(Request, "min_mod_revision");
   json::array Items;
   const auto &All = State_.items();
   for (auto It = All.lower_bound(From); It != All.end(); ++It) {
     if (!inRange(It->first, From, To))
       break;
-    if (It->second.ModRevision_ >= Since)
+    if (It->second.ModRevision_ >= MinRevision)
       Items.push_back(toJson(It->first, It->second));
   }
   const std::size_t Count = Items.size();
   return {{"kvs", std::move(Items)}, {"count", std::to_string(Count)}};
 }
 
-bool KvService::holds(const json::object &Compare) const {
-  const StoredValue *Item = State_.find(bytesAt(Compare, "key"));
+bool KvService::compareSucceeds(const json::object &Compare) const {
+  const StoredValue *Item = State_.find(decodedField(Compare, "key"));
   const json::value *Target = Compare.if_contains("target");
   if (Target && Target->is_string() && Target->get_string() == "CREATE")
     return (Item ? Item->CreateRevision_ : 0) ==
-           numberAt(Compare, "create_revision");
-  return (Item ? Item->ModRevision_ : 0) == numberAt(Compare, "mod_revision");
+           integerField(Compare, "create_revision");
+  return (Item ? Item->ModRevision_ : 0) ==
+         integerField(Compare, "mod_revision");
 }
 
 json::object KvService::txn(const json::object &Request) {
   bool Succeeded = true;
   if (const json::value *Compares = Request.if_contains("compare"))
     for (const json::value &Item : Compares->as_array())
-      Succeeded = Succeeded && holds(Item.as_object());
+      Succeeded = Succeeded && compareSucceeds(Item.as_object());
   const json::value *Operations =
       Request.if_contains(Succeeded ? "success" : "failure");
   json::array Answers;
@@ -172,30 +173,31 @@
 json::object KvService::apply(const json::object &Operation) {
   if (const json::value *Put = Operation.if_contains("request_put")) {
     const json::object &Request = Put->as_object();
-    std::string Value = bytesAt(Request, "value");
-    if (Value.size() > KvState::LongestValue)
+    std::string Value = decodedField(Request, "value");
+    if (Value.size() > KvState::MaxValueBytes)
       return {{"error", "value is too large"}};
-    State_.put(bytesAt(Request, "key"), std::move(Value),
-               numberAt(Request, "lease"));
+    State_.put(decodedField(Request, "key"), std::move(Value),
+               integerField(Request, "lease"));
     return {{"response_put", json::object()}};
   }
   if (const json::value *Delete =
           Operation.if_contains("request_delete_range")) {
     const json::object &Request = Delete->as_object();
-    State_.eraseRange(bytesAt(Request, "key"), bytesAt(Request, "range_end"));
+    State_.eraseRange(decodedField(Request, "key"),
+                      decodedField(Request, "range_end"));
     return {{"response_delete_range", json::object()}};
   }
   return {{"error", "unknown operation"}};
 }
 
-json::object KvService::lease(std::string_view Verb,
+json::object KvService::lease(std::string_view Operation,
                               const json::object &Request) {
   const TimePoint Now = SystemClock().now();
-  const std::int64_t Id = numberAt(Request, "ID");
-  if (Verb == "grant")
-    return {{"ID",
-             std::to_string(State_.grantLease(numberAt(Request, "TTL"), Now))}};
-  if (Verb == "keepalive") {
+  const std::int64_t Id = integerField(Request, "ID");
+  if (Operation == "grant")
+    return {{"ID", std::to_string(
+                       State_.grantLease(integerField(Request, "TTL"), Now))}};
+  if (Operation == "keepalive") {
     const std::int64_t Seconds = State_.keepLease(Id, Now);
     return {{"result", json::object{{"ID", std::to_string(Id)},
                                     {"TTL", std::to_string(Seconds)}}}};
@@ -217,15 +219,15 @@
     return false;
   }
   Next = State_.revision() + 1;
-  json::array Wanted;
+  json::array Matching;
   for (const KvEvent &Event : *Events)
     if (inRange(Event.Key_, From, To))
-      Wanted.push_back(toJson(Event));
-  if (Wanted.empty())
+      Matching.push_back(toJson(Event));
+  if (Matching.empty())
     return true;
   const json::object Result{
       {"result", json::object{{"header", header(State_.revision())},
-                              {"events", std::move(Wanted)}}}};
+                              {"events", std::move(Matching)}}}};
   return Call.write(json::serialize(Result) + "\n").ok();
 }
 
@@ -233,14 +235,14 @@
   const json::value *Create = Request.if_contains("create_request");
   if (!Create || !Create->is_object())
     return replyJson(Call, 400, json::object{{"message", "no create_request"}});
-  const std::string From = bytesAt(Create->get_object(), "key");
-  const std::string To = bytesAt(Create->get_object(), "range_end");
-  std::int64_t Next = numberAt(Create->get_object(), "start_revision");
+  const std::string From = decodedField(Create->get_object(), "key");
+  const std::string To = decodedField(Create->get_object(), "range_end");
+  std::int64_t Next = integerField(Create->get_object(), "start_revision");
   if (Next == 0)
     Next = State_.revision() + 1;
-  auto Gone = std::make_shared<bool>(false);
-  Call.onCallerGone([this, Gone] {
-    *Gone = true;
+  auto Disconnected = std::make_shared<bool>(false);
+  Call.onCallerDisconnected([this, Disconnected] {
+    *Disconnected = true;
     Changed_.notify_all();
   });
   http::Response Head;
@@ -250,14 +252,15 @@
   const json::object Created{
       {"result",
        json::object{{"header", header(State_.revision())}, {"created", true}}}};
-  bool Going = Call.write(json::serialize(Created) + "\n").ok();
-  while (Going && !*Gone) {
+  bool Open = Call.write(json::serialize(Created) + "\n").ok();
+  while (Open && !*Disconnected) {
     if (Faults_.StoreDown_)
       return Call.abort();
     if (!Faults_.WatchSilent_)
-      Going = sendEvents(Call, From, To, Next);
+      Open = sendEvents(Call, From, To, Next);
     std::unique_lock<boost::fibers::mutex> Lock(Mutex_);
-    if (Going && !*Gone && (Faults_.WatchSilent_ || State_.revision() < Next))
+    if (Open && !*Disconnected &&
+        (Faults_.WatchSilent_ || State_.revision() < Next))
       Changed_.wait(Lock);
   }
   Call.endReply();
--- a/standin/kvservice.h
+++ b/standin/kvservice.h
@@ -27,16 +27,16 @@
   KvState &state() { return State_; }
   const CallCounts &calls() const { return Calls_; }
   /// Wakes watchers after a change from outside.
-  void changed() { Changed_.notify_all(); }
+  void notifyWatchers() { Changed_.notify_all(); }
 
 private:
   boost::json::object range(const boost::json::object &Request);
   boost::json::object txn(const boost::json::object &Request);
-  boost::json::object lease(std::string_view Verb,
+  boost::json::object lease(std::string_view Operation,
                             const boost::json::object &Request);
   void watch(framework::http::Exchange &Call,
              const boost::json::object &Request);
-  bool holds(const boost::json::object &Compare) const;
+  bool compareSucceeds(const boost::json::object &Compare) const;
   boost::json::object apply(const boost::json::object &Operation);
   bool sendEvents(framework::http::Exchange &Call, const std::string &From,
                   const std::string &To, std::int64_t &Next);
--- a/standin/kvstate.cpp
+++ b/standin/kvstate.cpp
@@ -12,13 +12,13 @@
 }
 
 const StoredValue *KvState::find(const std::string &Key) const {
-  const auto At = Items_.find(Key);
-  return At == Items_.end() ? nullptr : &At->second;
+  const auto It = Items_.find(Key);
+  return It == Items_.end() ? nullptr : &It->second;
 }
 
 void KvState::record(KvEvent Event) {
   History_.push_back(std::move(Event));
-  if (History_.size() > HistoryKept) {
+  if (History_.size() > MaxHistoryEvents) {
     Compacted_ = History_.front().Revision_;
     History_.pop_front();
   }
@@ -53,9 +53,11 @@
 KvState::eventsSince(std::int64_t Revision) const {
   if (Revision <= Compacted_)
     return std::nullopt;
-  const auto First = std::lower_bound(
-      History_.begin(), History_.end(), Revision,
-      [](const KvEvent &E, std::int64_t R) { return E.Revision_ < R; });
+  const auto First =
+      std::lower_bound(History_.begin(), History_.end(), Revision,
+                       [](const KvEvent &Event, std::int64_t Wanted) {
+                         return Event.Revision_ < Wanted;
+                       });
   return std::vector<KvEvent>(First, History_.end());
 }
 
@@ -72,11 +74,11 @@
 }
 
 std::int64_t KvState::keepLease(std::int64_t Id, TimePoint Now) {
-  const auto At = Leases_.find(Id);
-  if (At == Leases_.end())
+  const auto It = Leases_.find(Id);
+  if (It == Leases_.end())
     return 0;
-  At->second.ExpiresAt_ = Now + std::chrono::seconds(At->second.Seconds_);
-  return At->second.Seconds_;
+  It->second.ExpiresAt_ = Now + std::chrono::seconds(It->second.Seconds_);
+  return It->second.Seconds_;
 }
 
 void KvState::revokeLease(std::int64_t Id) {
@@ -103,8 +105,8 @@
 }
 
 void KvState::restore() {
-  Items_ = Saved_.Items_;
-  Revision_ = Saved_.Revision_;
+  Items_ = Backup_.Items_;
+  Revision_ = Backup_.Revision_;
   History_.clear();
   Compacted_ = Revision_;
 }
--- a/standin/kvstate.h
+++ b/standin/kvstate.h
@@ -32,8 +32,8 @@
 /// memory; no I/O.
 class KvState {
 public:
-  static constexpr std::size_t LongestValue = 1024 * 1024;
-  static constexpr std::size_t HistoryKept = 20'000;
+  static constexpr std::size_t MaxValueBytes = 1024 * 1024;
+  static constexpr std::size_t MaxHistoryEvents = 20'000;
 
   std::int64_t revision() const { return Revision_; }
   const std::map<std::string, StoredValue> &items() const { return Items_; }
@@ -55,7 +55,7 @@
   void expireLeases(TimePoint Now);
 
   /// Copies kept to come back to, as a service restored from a backup does.
-  void save() { Saved_ = {Items_, Revision_}; }
+  void save() { Backup_ = {Items_, Revision_}; }
   void restore();
 
 private:
@@ -72,7 +72,7 @@
   std::map<std::string, StoredValue> Items_;
   std::deque<KvEvent> History_;
   std::map<std::int64_t, Lease> Leases_;
-  Backup Saved_;
+  Backup Backup_;
   std::int64_t Revision_ = 1;
   std::int64_t Compacted_ = 0;
   std::int64_t NextLease_ = 1;
--- a/standin/main.cpp
+++ b/standin/main.cpp
@@ -22,7 +22,7 @@
 using framework::settings::FieldErrors;
 using framework::settings::JsonReader;
 
-constexpr int BadUsage = 2;
+constexpr int ExitUsageError = 2;
 
 struct DeclaredEndpoint {
   std::string Vm_;
@@ -63,7 +63,7 @@
   const auto Control = framework::http::parseAddress(Listen);
   if (!Control) {
     std::cerr << "laburnum-standin: --listen: not an ip:port\n";
-    return BadUsage;
+    return ExitUsageError;
   }
   standin::PlatformOptions Options;
   Options.Control_ = *Control;
@@ -72,7 +72,7 @@
   const auto Endpoints = readFleet(Fleet);
   if (!Endpoints.ok()) {
     std::cerr << "laburnum-standin: " << Endpoints.status().message() << '\n';
-    return BadUsage;
+    return ExitUsageError;
   }
   for (const DeclaredEndpoint &Item : *Endpoints) {
     const auto At = framework::http::parseAddress(Item.Address_);
@@ -102,7 +102,7 @@
 
 } // namespace
 
-int main(int Count, char **Words) {
+int main(int ArgumentCount, char **Arguments) {
   cxxopts::Options Options("laburnum-standin",
                            "Stand-in of the platform, for tests only");
   Options.add_options()(
@@ -113,16 +113,16 @@
       "reboot-ms", "time of a reboot",
       cxxopts::value<std::int64_t>()->default_value("1500"))("help", "help");
   try {
-    const auto Given = Options.parse(Count, Words);
-    if (Given.count("help") || !Given.count("fleet")) {
+    const auto Parsed = Options.parse(ArgumentCount, Arguments);
+    if (Parsed.count("help") || !Parsed.count("fleet")) {
       std::cout << Options.help() << '\n';
-      return Given.count("help") ? 0 : BadUsage;
+      return Parsed.count("help") ? 0 : ExitUsageError;
     }
-    return serve(Given["listen"].as<std::string>(),
-                 Given["fleet"].as<std::string>(),
-                 Given["reboot-ms"].as<std::int64_t>());
+    return serve(Parsed["listen"].as<std::string>(),
+                 Parsed["fleet"].as<std::string>(),
+                 Parsed["reboot-ms"].as<std::int64_t>());
   } catch (const cxxopts::exceptions::exception &Error) {
     std::cerr << "laburnum-standin: " << Error.what() << '\n';
-    return BadUsage;
+    return ExitUsageError;
   }
 }
--- a/standin/platform.cpp
+++ b/standin/platform.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr auto TickEvery = 20ms;
+constexpr auto TickInterval = 20ms;
 
 http::ServerLimits serverLimits() {
   http::ServerLimits Limits;
@@ -28,7 +28,7 @@
   return Limits;
 }
 
-http::Response plain(int Status, std::string Body) {
+http::Response jsonResponse(int Status, std::string Body) {
   http::Response Answer;
   Answer.Status_ = Status;
   Answer.Headers_.add("Content-Type", "application/json");
@@ -36,11 +36,12 @@
   return Answer;
 }
 
-http::Response faultReply(int Status, const std::string &Reason) {
-  return plain(Status, json::serialize(json::object{{"message", Reason}}));
+http::Response errorResponse(int Status, const std::string &Reason) {
+  return jsonResponse(Status,
+                      json::serialize(json::object{{"message", Reason}}));
 }
 
-std::string bodyOf(http::Exchange &Call) {
+std::string readBody(http::Exchange &Call) {
   std::string Body;
   for (bool More = true; More;) {
     const absl::StatusOr<bool> Next = Call.readSome(Body, 64 * 1024);
@@ -49,7 +50,7 @@
   return Body;
 }
 
-std::optional<EndpointMode> modeNamed(std::string_view Name) {
+std::optional<EndpointMode> parseMode(std::string_view Name) {
   constexpr std::array<std::string_view, 6> Names = {
       "good", "silent", "fail", "truncate", "late", "oversize"};
   for (std::size_t I = 0; I < Names.size(); ++I)
@@ -68,17 +69,17 @@
   Into.BadReboots_ = Reader.optionalInt("badReboots", Into.BadReboots_, {});
   Reader.eachObject("endpoints", [&](JsonReader &Item) {
     EndpointFault &Fault = Into.Endpoints_[Item.requiredString("vm")];
-    const auto Mode = modeNamed(Item.optionalString("mode", "good"));
+    const auto Mode = parseMode(Item.optionalString("mode", "good"));
     if (!Mode)
-      Item.fault("mode", "unknown mode");
+      Item.addError("mode", "unknown mode");
     Fault.Mode_ = Mode.value_or(EndpointMode::Good);
     Fault.DelayMs_ = Item.optionalInt("delayMs", 0, {});
   });
 }
 
-template <typename Map> json::object toObject(const Map &Rows) {
+template <typename CountMap> json::object toJsonObject(const CountMap &Counts) {
   json::object Result;
-  for (const auto &[Name, Count] : Rows)
+  for (const auto &[Name, Count] : Counts)
     Result[Name] = Count;
   return Result;
 }
@@ -90,12 +91,12 @@
       Vms_(Faults_, Options_.RebootTime_), Store_(Faults_),
       Control_(
           Io, serverLimits(), [this](http::Exchange &Call) { handle(Call); },
-          faultReply) {}
+          errorResponse) {}
 
 absl::Status Platform::start() {
   framework::fibers::spawn([this] {
     while (true) {
-      framework::fibers::sleepFor(TickEvery);
+      framework::fibers::sleepFor(TickInterval);
       Vms_.tick(SystemClock().now());
     }
   });
@@ -111,22 +112,22 @@
   Servers_.push_back(std::make_unique<http::Server>(
       Io_, serverLimits(),
       [this, Port](http::Exchange &Call) {
-        if (Cut_.contains(*Port))
+        if (UnreachablePorts_.contains(*Port))
           return Call.abort();
         handle(Call);
       },
-      faultReply));
+      errorResponse));
   if (absl::Status Status = Servers_.back()->listen(At); !Status.ok())
     return Status;
   *Port = Servers_.back()->port();
   return *Port;
 }
 
-void Platform::cutControl(std::uint16_t Port, bool Cut) {
-  if (Cut)
-    Cut_.insert(Port);
+void Platform::setControlUnreachable(std::uint16_t Port, bool Unreachable) {
+  if (Unreachable)
+    UnreachablePorts_.insert(Port);
   else
-    Cut_.erase(Port);
+    UnreachablePorts_.erase(Port);
 }
 
 absl::StatusOr<std::uint16_t> Platform::addEndpoint(const std::string &Vm,
@@ -138,7 +139,7 @@
   Endpoint *Target = Endpoints_.back().get();
   Servers_.push_back(std::make_unique<http::Server>(
       Io_, serverLimits(),
-      [Target](http::Exchange &Call) { Target->handle(Call); }, faultReply));
+      [Target](http::Exchange &Call) { Target->handle(Call); }, errorResponse));
   if (absl::Status Status = Servers_.back()->listen(At); !Status.ok())
     return Status;
   return Servers_.back()->port();
@@ -154,14 +155,14 @@
     return handleFaults(Call);
   if (First == "platform" && Path.Segments_.size() > 1)
     return handlePlatform(Call, Path);
-  Call.reply(faultReply(404, "not found"));
+  Call.reply(errorResponse(404, "not found"));
 }
 
 void Platform::handleFaults(http::Exchange &Call) {
-  const auto Document = framework::settings::parseJson(bodyOf(Call));
+  const auto Document = framework::settings::parseJson(readBody(Call));
   if (!Document.ok())
     return Call.reply(
-        faultReply(400, std::string(Document.status().message())));
+        errorResponse(400, std::string(Document.status().message())));
   FieldErrors Errors;
   JsonReader Reader(*Document, "", Errors);
   if (Reader.optionalBool("saveStore", false))
@@ -170,10 +171,11 @@
     Store_.state().restore();
   readFaults(Reader, Faults_);
   Reader.finish();
-  Store_.changed();
+  Store_.notifyWatchers();
   if (!Errors.empty())
-    return Call.reply(faultReply(400, framework::settings::describe(Errors)));
-  Call.reply(plain(200, "{}"));
+    return Call.reply(
+        errorResponse(400, framework::settings::describe(Errors)));
+  Call.reply(jsonResponse(200, "{}"));
 }
 
 void Platform::handlePlatform(http::Exchange &Call, const http::Target &Path) {
@@ -181,7 +183,7 @@
   const TimePoint Now = SystemClock().now();
   const std::string &Method = Call.head().Method_;
   if (Parts[1] == "vms" && Parts.size() == 2 && Method == "GET")
-    return replyList(
+    return replyVmList(
         Call,
         std::strtoll(std::string(Path.query("since").value_or("0")).c_str(),
                      nullptr, 10));
@@ -189,27 +191,28 @@
     return replyLedger(Call);
   if (Parts[1] == "keys" && Method == "GET")
     return Call.reply(
-        plain(200, json::serialize(json::object{
-                       {"keys", toObject(Ledger_.StartsByKey_)}})));
+        jsonResponse(200, json::serialize(json::object{
+                              {"keys", toJsonObject(Ledger_.StartsByKey_)}})));
   if (Parts[1] == "vms" && Parts.size() == 3 && Method == "PUT") {
-    const std::string State = bodyOf(Call);
+    const std::string State = readBody(Call);
     addVm(Parts[2]);
     Vms_.setState(Parts[2], State.empty() ? "live" : State, Now);
-    return Call.reply(plain(200, "{}"));
+    return Call.reply(jsonResponse(200, "{}"));
   }
   if (Parts[1] == "vms" && Parts.size() == 4 && Parts[3] == "reboot" &&
       Method == "POST") {
     const bool Known = Vms_.reboot(
         Parts[2], std::string(Path.query("ifBootId").value_or("")), Now);
-    return Call.reply(Known ? plain(202, "{}") : faultReply(404, "no such VM"));
+    return Call.reply(Known ? jsonResponse(202, "{}")
+                            : errorResponse(404, "no such VM"));
   }
-  Call.reply(faultReply(404, "not found"));
+  Call.reply(errorResponse(404, "not found"));
 }
 
-void Platform::replyList(http::Exchange &Call, std::int64_t Since) {
+void Platform::replyVmList(http::Exchange &Call, std::int64_t Since) {
   json::array Rows, Gone;
   std::int64_t Version = 0;
-  for (const auto &[Name, Row] : Vms_.listed(SystemClock().now())) {
+  for (const auto &[Name, Row] : Vms_.listedRows(SystemClock().now())) {
     Version = std::max(Version, Row.ChangedAt_);
     if (Row.ChangedAt_ <= Since)
       continue;
@@ -220,33 +223,34 @@
                       {"state", Row.Rebooting_ ? "rebooting" : Row.State_},
                       {"bootId", Row.bootId(Name)}});
   }
-  Call.reply(
-      plain(200, json::serialize(json::object{{"version", Version},
-                                              {"complete", Since == 0},
-                                              {"vms", std::move(Rows)},
-                                              {"gone", std::move(Gone)}})));
+  Call.reply(jsonResponse(
+      200, json::serialize(json::object{{"version", Version},
+                                        {"complete", Since == 0},
+                                        {"vms", std::move(Rows)},
+                                        {"gone", std::move(Gone)}})));
 }
 
 void Platform::replyLedger(http::Exchange &Call) {
   json::object Reboots;
-  for (const auto &[Name, Row] : Vms_.truth())
+  for (const auto &[Name, Row] : Vms_.rows())
     if (Row.Reboots_ > 0)
       Reboots[Name] = Row.Reboots_;
-  Call.reply(plain(200, json::serialize(json::object{
-                            {"started", Ledger_.Started_},
-                            {"finished", Ledger_.Finished_},
-                            {"stopped", Ledger_.Stopped_},
-                            {"refusedBusy", Ledger_.RefusedBusy_},
-                            {"refusedLease", Ledger_.RefusedLease_},
-                            {"refusedDown", Ledger_.RefusedDown_},
-                            {"cutByReboot", Ledger_.CutByReboot_},
-                            {"keysStartedTwice", Ledger_.keysStartedTwice()},
-                            {"keysStarted", Ledger_.StartsByKey_.size()},
-                            {"mostByTeam", toObject(Ledger_.MostByTeam_)},
-                            {"startsByVm", toObject(Ledger_.StartsByVm_)},
-                            {"reboots", Reboots},
-                            {"storeCalls", toObject(Store_.calls())},
-                        })));
+  Call.reply(jsonResponse(
+      200, json::serialize(json::object{
+               {"started", Ledger_.Started_},
+               {"finished", Ledger_.Finished_},
+               {"stopped", Ledger_.Stopped_},
+               {"refusedBusy", Ledger_.RefusedBusy_},
+               {"refusedLease", Ledger_.RefusedLease_},
+               {"refusedDown", Ledger_.RefusedDown_},
+               {"cutByReboot", Ledger_.CutByReboot_},
+               {"keysStartedTwice", Ledger_.keysStartedTwice()},
+               {"keysStarted", Ledger_.StartsByKey_.size()},
+               {"mostByTeam", toJsonObject(Ledger_.PeakRunningByTeam_)},
+               {"startsByVm", toJsonObject(Ledger_.StartsByVm_)},
+               {"reboots", Reboots},
+               {"storeCalls", toJsonObject(Store_.calls())},
+           })));
 }
 
 } // namespace laburnumspread::standin
--- a/standin/platform.h
+++ b/standin/platform.h
@@ -34,7 +34,7 @@
   /// Another address of the control interface, which can be cut by itself.
   absl::StatusOr<std::uint16_t> addControl(framework::http::Address At);
   /// Whether calls on that address are answered.
-  void cutControl(std::uint16_t Port, bool Cut);
+  void setControlUnreachable(std::uint16_t Port, bool Unreachable);
 
   /// Adds a VM that is no endpoint.
   void addVm(const std::string &Name);
@@ -50,7 +50,7 @@
                       const framework::http::Target &Path);
   void handleFaults(framework::http::Exchange &Call);
   /// Rows that have changed after version \p Since; all for 0.
-  void replyList(framework::http::Exchange &Call, std::int64_t Since);
+  void replyVmList(framework::http::Exchange &Call, std::int64_t Since);
   void replyLedger(framework::http::Exchange &Call);
 
   boost::asio::io_context &Io_;
@@ -60,7 +60,7 @@
   WorkLedger Ledger_;
   KvService Store_;
   framework::http::Server Control_;
-  std::set<std::uint16_t> Cut_;
+  std::set<std::uint16_t> UnreachablePorts_;
   std::vector<std::unique_ptr<Endpoint>> Endpoints_;
   std::vector<std::unique_ptr<framework::http::Server>> Servers_;
 };
--- a/standin/tests/platformtest.cpp
+++ b/standin/tests/platformtest.cpp
@@ -21,7 +21,7 @@
   return Io;
 }
 
-TimePoint soon() { return framework::clock::SystemClock().now() + 20s; }
+TimePoint testDeadline() { return framework::clock::SystemClock().now() + 20s; }
 
 struct Fixture {
   // Fibers of the platform outlive the test case.
@@ -38,7 +38,7 @@
     store::Transaction Txn;
     Txn.Compares_.push_back({Key, If});
     Txn.Puts_.push_back({Key, Value});
-    const auto Result = Store_.commit(Txn, soon());
+    const auto Result = Store_.commit(Txn, testDeadline());
     BOOST_REQUIRE_MESSAGE(Result.ok(), Result.status());
     return *Result;
   }
@@ -51,21 +51,22 @@
   BOOST_TEST(First.Succeeded_);
   BOOST_TEST(!put("/a/1", "y", Revision(0)).Succeeded_);
   BOOST_TEST(put("/a/1", "y", First.StoreRevision_).Succeeded_);
-  const auto All = *Store_.range("/a/", Revision(0), soon());
+  const auto All = *Store_.range("/a/", Revision(0), testDeadline());
   BOOST_REQUIRE(All.Items_.size() == 1u);
   BOOST_TEST(All.Items_[0].Value_ == "y");
-  BOOST_TEST(
-      Store_.range("/a/", All.StoreRevision_.next(), soon())->Items_.empty());
+  BOOST_TEST(Store_.range("/a/", All.StoreRevision_.next(), testDeadline())
+                 ->Items_.empty());
 }
 
 // The store does the write and drops its answer. The client must report that
 // it does not know, and find the write when it reads.
-BOOST_FIXTURE_TEST_CASE(LostAnswerIsAnErrorAndTheWriteStands, Fixture) {
+BOOST_FIXTURE_TEST_CASE(LostResponseReportsErrorButKeepsWrite, Fixture) {
   Platform_.faults().LoseAnswers_ = 1;
   store::Transaction Txn;
   Txn.Puts_.push_back({"/a/1", "x"});
-  BOOST_TEST(!Store_.commit(Txn, soon()).ok());
-  BOOST_TEST(Store_.range("/a/", Revision(0), soon())->Items_.size() == 1u);
+  BOOST_TEST(!Store_.commit(Txn, testDeadline()).ok());
+  BOOST_TEST(Store_.range("/a/", Revision(0), testDeadline())->Items_.size() ==
+             1u);
 }
 
 BOOST_FIXTURE_TEST_CASE(WatchDeliversChangesInOrder, Fixture) {
@@ -84,7 +85,7 @@
   });
   for (const char *Value : {"1", "2", "3"})
     put(std::string("/w/") + Value, Value, Revision(0));
-  BOOST_TEST(Done.waitUntil(soon()));
+  BOOST_TEST(Done.waitUntil(testDeadline()));
   BOOST_TEST(Seen == (std::vector<std::string>{"1", "2", "3"}));
 }
 
@@ -96,14 +97,14 @@
   BOOST_TEST(Ended.code() == absl::StatusCode::kOutOfRange);
 }
 
-BOOST_FIXTURE_TEST_CASE(LeaseKeepsUntilItIsRevoked, Fixture) {
-  const std::int64_t Lease = *Store_.grantLease(30, soon());
-  BOOST_TEST(*Store_.keepLease(Lease, soon()));
+BOOST_FIXTURE_TEST_CASE(LeaseCanBeRenewedUntilRevoked, Fixture) {
+  const std::int64_t Lease = *Store_.grantLease(30, testDeadline());
+  BOOST_TEST(*Store_.keepLease(Lease, testDeadline()));
   Platform_.store().state().revokeLease(Lease);
-  BOOST_TEST(!*Store_.keepLease(Lease, soon()));
+  BOOST_TEST(!*Store_.keepLease(Lease, testDeadline()));
 }
 
-BOOST_AUTO_TEST_CASE(LeaseEndsWithItsTimeAndTakesItsKeysAlong) {
+BOOST_AUTO_TEST_CASE(ExpiredLeaseDeletesItsKeys) {
   KvState State;
   const TimePoint Start{1h};
   const std::int64_t Lease = State.grantLease(5, Start);
@@ -117,21 +118,21 @@
 
 // The list shows a VM as live for the lag after it has gone, and a reboot that
 // is asked for twice happens once.
-BOOST_AUTO_TEST_CASE(ListLagsAndRebootsAreNotRepeated) {
-  Faults Set;
-  Set.ListLagMs_ = 1000;
-  VmFleet Vms(Set, 2s);
+BOOST_AUTO_TEST_CASE(VmListLagsAndRepeatedRebootIsIgnored) {
+  Faults Injected;
+  Injected.ListLagMs_ = 1000;
+  VmFleet Vms(Injected, 2s);
   const TimePoint Start{1h};
   Vms.add("a", Start);
   Vms.reboot("a", "a-boot-1", Start + 2s);
   Vms.reboot("a", "a-boot-1", Start + 2s);
   BOOST_TEST(!Vms.running("a"));
-  BOOST_TEST(!Vms.listed(Start + 2500ms).at("a").Rebooting_);
-  BOOST_TEST(Vms.listed(Start + 3s).at("a").Rebooting_);
+  BOOST_TEST(!Vms.listedRows(Start + 2500ms).at("a").Rebooting_);
+  BOOST_TEST(Vms.listedRows(Start + 3s).at("a").Rebooting_);
   Vms.tick(Start + 4s);
   BOOST_TEST(Vms.running("a"));
   Vms.reboot("a", "a-boot-1", Start + 5s);
-  BOOST_TEST(Vms.truth().at("a").Reboots_ == 1u);
+  BOOST_TEST(Vms.rows().at("a").Reboots_ == 1u);
 }
 
 BOOST_FIXTURE_TEST_CASE(EndpointCountsStartsAndRefusesWhenBusy, Fixture) {
@@ -145,14 +146,14 @@
   Work.Body_ = "{\"workMs\": 300}";
   framework::fibers::Waiter Done;
   framework::fibers::spawn([&] {
-    BOOST_TEST(First.exchange(Work, soon())->Status_ == 200);
+    BOOST_TEST(First.exchange(Work, testDeadline())->Status_ == 200);
     Done.signal();
   });
   while (Platform_.ledger().Started_ == 0)
     framework::fibers::sleepFor(1ms);
-  const auto Refused = Second.exchange(Work, soon());
+  const auto Refused = Second.exchange(Work, testDeadline());
   BOOST_TEST(Refused->Status_ == 503);
   BOOST_TEST(Refused->Headers_.find("endpoint-refusal").value_or("") == "busy");
-  BOOST_TEST(Done.waitUntil(soon()));
+  BOOST_TEST(Done.waitUntil(testDeadline()));
   BOOST_TEST(Platform_.ledger().StartsByKey_["/k"] == 1u);
 }
--- a/standin/vmfleet.cpp
+++ b/standin/vmfleet.cpp
@@ -2,40 +2,40 @@
 
 namespace laburnumspread::standin {
 
-void VmFleet::note(TimePoint Now, const std::string &Changed) {
+void VmFleet::recordChange(TimePoint Now, const std::string &Changed) {
   Rows_[Changed].ChangedAt_ = ++Version_;
-  Past_.push_back({Now, Rows_});
+  Snapshots_.push_back({Now, Rows_});
 }
 
 void VmFleet::add(const std::string &Name, TimePoint Now) {
   if (Rows_.try_emplace(Name).second)
-    note(Now, Name);
+    recordChange(Now, Name);
 }
 
 bool VmFleet::setState(const std::string &Name, const std::string &State,
                        TimePoint Now) {
-  const auto At = Rows_.find(Name);
-  if (At == Rows_.end())
+  const auto It = Rows_.find(Name);
+  if (It == Rows_.end())
     return false;
-  if (At->second.State_ == "gone" && State == "live")
-    ++At->second.Boots_;
-  At->second.State_ = State;
-  note(Now, Name);
+  if (It->second.State_ == "gone" && State == "live")
+    ++It->second.Boots_;
+  It->second.State_ = State;
+  recordChange(Now, Name);
   return true;
 }
 
 bool VmFleet::reboot(const std::string &Name, const std::string &IfBootId,
                      TimePoint Now) {
-  const auto At = Rows_.find(Name);
-  if (At == Rows_.end())
+  const auto It = Rows_.find(Name);
+  if (It == Rows_.end())
     return false;
-  VmRow &Row = At->second;
+  VmRow &Row = It->second;
   if (Row.Rebooting_ || Row.bootId(Name) != IfBootId)
     return true;
   Row.Rebooting_ = true;
   ++Row.Reboots_;
   Row.RebootedAt_ = Now;
-  note(Now, Name);
+  recordChange(Now, Name);
   return true;
 }
 
@@ -49,21 +49,21 @@
       --Faults_.BadReboots_;
       Faults_.Endpoints_[Name].Mode_ = EndpointMode::Fail;
     }
-    note(Now, Name);
+    recordChange(Now, Name);
   }
 }
 
 bool VmFleet::running(const std::string &Name) const {
-  const auto At = Rows_.find(Name);
-  return At != Rows_.end() && !At->second.Rebooting_ &&
-         At->second.State_ != "gone";
+  const auto It = Rows_.find(Name);
+  return It != Rows_.end() && !It->second.Rebooting_ &&
+         It->second.State_ != "gone";
 }
 
-const std::map<std::string, VmRow> &VmFleet::listed(TimePoint Now) {
+const std::map<std::string, VmRow> &VmFleet::listedRows(TimePoint Now) {
   const Duration Lag = std::chrono::milliseconds(Faults_.ListLagMs_);
-  while (Past_.size() > 1 && Past_[1].At_ + Lag <= Now)
-    Past_.pop_front();
-  return Past_.empty() ? Rows_ : Past_.front().Rows_;
+  while (Snapshots_.size() > 1 && Snapshots_[1].TakenAt_ + Lag <= Now)
+    Snapshots_.pop_front();
+  return Snapshots_.empty() ? Rows_ : Snapshots_.front().Rows_;
 }
 
 } // namespace laburnumspread::standin
--- a/standin/vmfleet.h
+++ b/standin/vmfleet.h
@@ -45,21 +45,21 @@
   void tick(TimePoint Now);
 
   bool running(const std::string &Name) const;
-  const std::map<std::string, VmRow> &truth() const { return Rows_; }
+  const std::map<std::string, VmRow> &rows() const { return Rows_; }
   /// The list as it was a lag ago.
-  const std::map<std::string, VmRow> &listed(TimePoint Now);
+  const std::map<std::string, VmRow> &listedRows(TimePoint Now);
 
 private:
-  struct Dated {
-    TimePoint At_;
+  struct Snapshot {
+    TimePoint TakenAt_;
     std::map<std::string, VmRow> Rows_;
   };
-  void note(TimePoint Now, const std::string &Changed);
+  void recordChange(TimePoint Now, const std::string &Changed);
 
   Faults &Faults_;
   Duration RebootTime_;
   std::map<std::string, VmRow> Rows_;
-  std::deque<Dated> Past_;
+  std::deque<Snapshot> Snapshots_;
   std::int64_t Version_ = 0;
 };
 
--- a/standin/workledger.h
+++ b/standin/workledger.h
@@ -21,7 +21,7 @@
   std::map<std::string, std::uint64_t> StartsByKey_;
   std::map<std::string, std::uint64_t> StartsByVm_;
   std::map<std::string, std::int64_t> RunningByTeam_;
-  std::map<std::string, std::int64_t> MostByTeam_;
+  std::map<std::string, std::int64_t> PeakRunningByTeam_;
 
   std::uint64_t keysStartedTwice() const {
     std::uint64_t Count = 0;
