--- a/src/framework/clock/adaptivetimeout.h
+++ b/src/framework/clock/adaptivetimeout.h
@@ -6,21 +6,22 @@
 
 namespace laburnumspread::framework::clock {
 
-/// How long to wait for an answer before a call is repeated, for calls that may
-/// be repeated without harm.
+/// Retry timeout for idempotent calls, estimated from measured response times.
 ///
-/// The failure: an answer, or the call itself, is lost, and everything behind
-/// it waits for a fixed time that must suit the slowest day. So the wait
-/// follows the answers that came: their smoothed mean and four times their
-/// mean deviation, as TCP sets its retransmission time (RFC 6298). Without an
-/// answer the wait doubles, which finds a peer that has become slower.
+/// A fixed timeout has to suit the slowest peer, so one lost request or
+/// response would block all work queued behind it for that long. This timeout
+/// is instead the smoothed mean of the response times plus four times their
+/// mean deviation, like the TCP retransmission timer (RFC 6298). Each timeout
+/// doubles it, so that it adapts to a peer that has become slower.
 class AdaptiveTimeout {
 public:
-  /// \p Min: below this an own pause is taken for a lost answer. \p Max:
-  /// bound of the doubled wait; also the wait before anything is known.
+  /// \param Min lower bound; with a shorter timeout, a pause of the local
+  ///   process would be mistaken for a lost response.
+  /// \param Max upper bound, also with backoff; used until the first response.
   AdaptiveTimeout(Duration Min, Duration Max) : Min_(Min), Max_(Max) {}
 
-  /// An answer took this long; only of calls that were sent once.
+  /// Adds a response time and resets the backoff. Only for calls that were
+  /// sent once: after a retry, it is unknown which attempt was answered.
   void recordResponse(Duration ResponseTime) {
     if (!HasSample_) {
       Mean_ = ResponseTime;
@@ -35,9 +36,10 @@
     Backoff_ = 1;
   }
 
-  /// No answer came within timeout().
+  /// Doubles the backoff after a call got no response within timeout().
   void recordTimeout() { Backoff_ = std::min(Backoff_ * 2, MaxBackoff); }
 
+  /// Time to wait for the next response.
   Duration timeout() const {
     if (!HasSample_)
       return Max_;
@@ -46,7 +48,7 @@
   }
 
 private:
-  /// Shares of the newest answer, RFC 6298.
+  /// Smoothing factors 1/8 (mean) and 1/4 (deviation) of RFC 6298.
   static constexpr int MeanDivisor = 8;
   static constexpr int DeviationDivisor = 4;
   static constexpr int MaxBackoff = 64;
--- a/src/framework/clock/clock.h
+++ b/src/framework/clock/clock.h
@@ -6,20 +6,21 @@
 
 namespace laburnumspread::framework::clock {
 
-/// Wall time in microseconds. Deadlines travel between machines, so wall time
-/// is used throughout; clockSkewMargin covers its error.
+/// Wall-clock time in microseconds. Deadlines are sent between machines, so
+/// wall-clock time is used throughout; ClockSkewMargin allows for skew.
 using TimePoint = std::chrono::sys_time<std::chrono::microseconds>;
 using Duration = std::chrono::microseconds;
 
-/// Largest difference between the clocks of two VMs that is provided for.
+/// Largest clock skew between two VMs that the protocols tolerate.
 constexpr Duration ClockSkewMargin = std::chrono::milliseconds(500);
 
-/// A source of the present time; virtual in tests.
+/// A source of the current time. Tests use a virtual clock.
 template <typename T>
 concept Clock = requires(const T &C) {
   { C.now() } -> std::same_as<TimePoint>;
 };
 
+/// The system's wall clock.
 class SystemClock {
 public:
   TimePoint now() const {
@@ -28,7 +29,7 @@
   }
 };
 
-/// A clock that moves only when it is told to.
+/// Virtual clock for tests. Advances only by advance().
 class ManualClock {
 public:
   explicit ManualClock(TimePoint Start = TimePoint(std::chrono::hours(480000)))
@@ -40,6 +41,7 @@
   TimePoint Now_;
 };
 
+/// Microseconds since the Unix epoch.
 inline std::int64_t toMicros(TimePoint Time) {
   return Time.time_since_epoch().count();
 }
@@ -48,6 +50,7 @@
   return TimePoint(Duration(Micros));
 }
 
+/// Milliseconds since the Unix epoch, rounded towards zero.
 inline std::int64_t toMillis(TimePoint Time) { return toMicros(Time) / 1000; }
 
 inline TimePoint fromMillis(std::int64_t Millis) {
--- a/src/framework/clock/steadyclock.h
+++ b/src/framework/clock/steadyclock.h
@@ -6,9 +6,10 @@
 
 namespace laburnumspread::framework::clock {
 
-/// Time since the machine's start, suspended time included. It never jumps
-/// when the time of day is set, and a process that was suspended sees on waking
-/// how long it was away. Good only for comparisons within one process.
+/// Monotonic time since boot, including time in suspend (CLOCK_BOOTTIME).
+/// Setting the system clock does not affect it, and a process that was
+/// suspended can tell afterwards for how long. Its times are comparable only
+/// within one process.
 class SteadyClock {
 public:
   TimePoint now() const {
@@ -20,7 +21,7 @@
   }
 };
 
-/// The wall-clock deadline that the HTTP client takes, \p Time from now.
+/// Wall-clock deadline \p Time from now, as the HTTP client expects it.
 inline TimePoint wallDeadline(Duration Time) {
   return SystemClock().now() + Time;
 }
--- a/src/framework/clock/tests/adaptivetimeouttest.cpp
+++ b/src/framework/clock/tests/adaptivetimeouttest.cpp
@@ -13,8 +13,8 @@
   BOOST_TEST((Timeout.timeout() == 300ms));
 }
 
-// Orders stand still for as long as the slowest day needs whenever one answer
-// is lost, though the peer answers within some milliseconds.
+// With a fixed timeout, one lost response delayed all orders by the worst-case
+// time although the peer responds within milliseconds.
 BOOST_AUTO_TEST_CASE(FastPeerUsesMinimum) {
   AdaptiveTimeout Timeout(120ms, 300ms);
   for (int I = 0; I < 20; ++I)
@@ -22,8 +22,8 @@
   BOOST_TEST((Timeout.timeout() == 120ms));
 }
 
-// The peer becomes sixty times as slow: every answer would come after the wait
-// and be lost, and nothing would ever get through.
+// The peer becomes sixty times slower. Without backoff, every response would
+// arrive after the timeout and no call would ever succeed.
 BOOST_AUTO_TEST_CASE(BackoffAdaptsToSlowerPeer) {
   AdaptiveTimeout Timeout(120ms, 1200ms);
   for (int I = 0; I < 20; ++I)
--- a/src/framework/digest/digest.h
+++ b/src/framework/digest/digest.h
@@ -9,14 +9,17 @@
 /// Lower-case hexadecimal SHA-256 of \p Text.
 std::string sha256Hex(std::string_view Text);
 
-/// Compares without revealing by its time where two texts differ.
+/// Compares two texts in constant time, so that the duration does not reveal
+/// where they differ. Texts of different length compare unequal at once.
 bool equalInConstantTime(std::string_view A, std::string_view B);
 
+/// Standard base64 with padding.
 std::string base64Encode(std::string_view Bytes);
-/// Empty when \p Text is not base64.
+/// Decodes padded base64. Returns an empty optional if \p Text is invalid.
 std::optional<std::string> base64Decode(std::string_view Text);
 
-/// \p Bytes random bytes from the system's generator, in hexadecimal.
+/// Returns \p Bytes random bytes from OpenSSL's generator, as lower-case
+/// hexadecimal.
 std::string randomHex(std::size_t Bytes);
 
 } // namespace laburnumspread::framework::digest
--- a/src/framework/fibers/asioscheduler.cpp
+++ b/src/framework/fibers/asioscheduler.cpp
@@ -21,8 +21,8 @@
     return nullptr;
   boost::fibers::context *Next = &Ready_.front();
   Ready_.pop_front();
-  // The dispatcher comes round once for each turn of the ready queue. Without
-  // this poll, fibers that wake each other for ever would starve all input.
+  // The dispatcher fiber runs once per round of the ready queue. Without this
+  // poll, fibers that keep waking each other would starve all I/O.
   if (Next->is_context(boost::fibers::type::dispatcher_context))
     Io_.poll();
   return Next;
@@ -35,7 +35,7 @@
 void AsioScheduler::suspend_until(const TimePoint &Until) noexcept {
   if (Until != WakeAt_) {
     WakeAt_ = Until;
-    // Setting the expiry cancels the wait before it.
+    // Setting a new expiry cancels the previous wait.
     WakeTimer_.expires_at(Until);
     if (Until != TimePoint::max())
       WakeTimer_.async_wait([this](const boost::system::error_code &Error) {
--- a/src/framework/fibers/asioscheduler.h
+++ b/src/framework/fibers/asioscheduler.h
@@ -8,10 +8,9 @@
 
 namespace laburnumspread::framework::fibers {
 
-/// Fiber scheduler that runs one io_context on its thread: ready fibers go
-/// round robin, and while none is ready the thread waits inside the
-/// io_context. Handlers run on the scheduler's stack and must not block; they
-/// only wake fibers.
+/// Round-robin fiber scheduler that also runs an io_context on its thread.
+/// While no fiber is ready, the thread blocks in the io_context. Handlers run
+/// on the scheduler's stack and must not block; they only wake fibers.
 class AsioScheduler final : public boost::fibers::algo::algorithm {
 public:
   explicit AsioScheduler(boost::asio::io_context &Io);
@@ -32,7 +31,7 @@
   boost::fibers::scheduler::ready_queue_type Ready_;
 };
 
-/// Installs the scheduler on the calling thread.
+/// Installs an AsioScheduler for \p Io on the calling thread.
 void useAsioScheduler(boost::asio::io_context &Io);
 
 } // namespace laburnumspread::framework::fibers
--- a/src/framework/fibers/await.h
+++ b/src/framework/fibers/await.h
@@ -7,16 +7,16 @@
 
 namespace laburnumspread::framework::fibers {
 
-/// What an asynchronous operation ended with.
+/// Result of an asynchronous operation: error code and bytes transferred.
 struct IoOutcome {
   boost::system::error_code Error_;
   std::size_t Bytes_ = 0;
 };
 
 /// Starts an asynchronous operation and suspends the calling fiber until its
-/// handler has run. \p Start is given the handler. The state lives on the
-/// fiber's stack, which stays valid because the fiber does not leave before
-/// the handler has run.
+/// completion handler has run. \p Start is called with that handler. The shared
+/// state is on the fiber's stack, which is safe because the fiber does not
+/// return before the handler has run.
 template <typename StartFn> IoOutcome await(StartFn &&Start) {
   struct State {
     IoOutcome Outcome_;
--- a/src/framework/fibers/spawn.h
+++ b/src/framework/fibers/spawn.h
@@ -11,13 +11,15 @@
 
 namespace laburnumspread::framework::fibers {
 
-/// Stack of one fiber. Only touched pages take memory; the guard page turns an
-/// overflow into a stop instead of silent damage.
+/// Stack size of a fiber, in bytes. Only pages that were touched use memory,
+/// and a guard page turns an overflow into a crash instead of memory
+/// corruption.
 constexpr std::size_t StackBytes = 128 * 1024;
 
-/// Allocates fiber stacks. The address sanitizer keeps the marks of frames that
-/// were on a stack when its fiber ended, and would take the frames of the next
-/// fiber at that address for damage; so they are cleared.
+/// Allocates fiber stacks. AddressSanitizer keeps the poisoned regions of
+/// frames that were on a stack when its fiber ended, and would report false
+/// errors for the next fiber at that address, so allocate() unpoisons the
+/// stack.
 class StackAllocator : public boost::fibers::protected_fixedsize_stack {
   using Base = boost::fibers::protected_fixedsize_stack;
 
@@ -34,8 +36,8 @@
   }
 };
 
-/// Starts a fiber that nobody joins; what it uses it keeps alive by shared
-/// ownership.
+/// Starts a detached fiber. \p Run must keep everything it uses alive, for
+/// example through shared pointers.
 template <typename Body> void spawn(Body &&Run) {
   boost::fibers::fiber(std::allocator_arg, StackAllocator(StackBytes),
                        std::forward<Body>(Run))
--- a/src/framework/fibers/waiter.cpp
+++ b/src/framework/fibers/waiter.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Fibers sleep on the steady clock; deadlines are wall time.
+/// Converts a wall-clock deadline to the steady clock that fibers sleep on.
 std::chrono::steady_clock::time_point toSteady(clock::TimePoint Deadline) {
   const clock::Duration Left = Deadline - clock::SystemClock().now();
   return std::chrono::steady_clock::now() + Left;
--- a/src/framework/fibers/waiter.h
+++ b/src/framework/fibers/waiter.h
@@ -9,14 +9,15 @@
 
 namespace laburnumspread::framework::fibers {
 
-/// A one-shot signal that one fiber waits for and any code on the same thread
-/// gives. Held by shared ownership, so that a late signal finds it alive.
+/// One-shot event that one fiber waits for and any code on the same thread can
+/// signal. Held by shared pointer, so that it outlives a late signal().
 class Waiter {
 public:
-  /// Wakes the waiting fiber; later calls change nothing.
+  /// Wakes the waiting fiber. Further calls have no effect.
   void signal();
 
-  /// Waits for the signal or the deadline. Returns whether it was signalled.
+  /// Waits until signal() is called or \p Deadline has passed. Returns whether
+  /// the event was signalled.
   bool waitUntil(clock::TimePoint Deadline);
 
   bool signalled() const { return Signalled_; }
--- a/src/framework/http/httpclient.cpp
+++ b/src/framework/http/httpclient.cpp
@@ -20,9 +20,9 @@
 constexpr std::size_t MaxResponseHeaderBytes = 16 * 1024;
 constexpr std::size_t BodyPartBytes = 16 * 1024;
 
-/// Unacknowledged data for this long ends a connection. A path that has
-/// forgotten the connection gives no error of its own; without this bound the
-/// kernel would resend for a quarter of an hour.
+/// TCP_USER_TIMEOUT: closes a connection whose data stays unacknowledged for
+/// this long. A network path that silently drops packets reports no error, and
+/// without this limit the kernel would retransmit for about 15 minutes.
 constexpr unsigned TcpUserTimeoutMs = 5000;
 
 std::chrono::steady_clock::time_point toSteady(clock::TimePoint Deadline) {
@@ -102,7 +102,7 @@
       bhttp::async_read_header(Stream_, Buffer_, *Parser_, Done);
     });
     if (Outcome.Error_)
-      return toStatus(Outcome.Error_, "read answer head");
+      return toStatus(Outcome.Error_, "read response head");
     noteReceived();
     Response Answer;
     Answer.Status_ = static_cast<int>(Parser_->get().result_int());
@@ -131,7 +131,7 @@
     });
     Into.resize(Before + Max - Body.size);
     if (Outcome.Error_ && Outcome.Error_ != bhttp::error::need_buffer)
-      return toStatus(Outcome.Error_, "read answer body");
+      return toStatus(Outcome.Error_, "read response body");
     noteReceived();
     Finished_ = Parser_->is_done();
     return !Finished_;
@@ -156,7 +156,7 @@
     Stream_.socket().non_blocking(true, Error);
     Stream_.socket().receive(boost::asio::buffer(&Byte, 1),
                              tcp::socket::message_peek, Error);
-    // Bytes that answer no request would be read as the answer to the next.
+    // Unsolicited bytes would be read as the response to the next request.
     return Error != boost::asio::error::would_block;
   }
 
@@ -179,8 +179,8 @@
     Serializer.next(Error, [&](beast::error_code &, const auto &Buffers) {
       Bytes = beast::buffers_to_string(Buffers);
     });
-    // Head and body leave in one segment: one system call, and no wait of one
-    // for the acknowledgement of the other.
+    // Send head and body together: one system call, and the body does not wait
+    // for the acknowledgement of the head.
     Bytes += Body;
     Stream_.expires_at(toSteady(Deadline));
     const IoOutcome Outcome = await([&](auto Done) {
@@ -258,10 +258,10 @@
   if (!Answer.ok())
     return Answer.status();
   if (Conn->contentLength().value_or(0) > MaxBody)
-    return absl::ResourceExhaustedError("answer is too large");
+    return absl::ResourceExhaustedError("response is too large");
   for (bool More = true; More;) {
     if (Answer->Body_.size() > MaxBody)
-      return absl::ResourceExhaustedError("answer is too large");
+      return absl::ResourceExhaustedError("response is too large");
     absl::StatusOr<bool> Next =
         Conn->readSome(Answer->Body_, BodyPartBytes, PartDeadline());
     if (!Next.ok())
--- a/src/framework/http/httpserver.cpp
+++ b/src/framework/http/httpserver.cpp
@@ -25,8 +25,8 @@
 
 constexpr std::size_t ReadBufferBytes = 8 * 1024;
 
-/// Pause after a failed accept (out of descriptors, say), so that the loop
-/// does not spin.
+/// Pause after a failed accept, for example when out of file descriptors, so
+/// that the accept loop does not spin.
 constexpr clock::Duration AcceptRetryPause = std::chrono::milliseconds(100);
 
 absl::Status bodyError(const beast::error_code &Error) {
@@ -43,8 +43,7 @@
 
 } // namespace
 
-/// One accepted connection, kept alive by its fiber and its pending
-/// operations.
+/// An accepted connection. Its fiber and its pending operations keep it alive.
 class ServerSession final : public Exchange,
                             public std::enable_shared_from_this<ServerSession> {
 public:
@@ -177,9 +176,9 @@
   }
 
 private:
-  /// Runs one operation for at most \p Time. When that is over the operation
-  /// is cancelled and the connection stays open, so that the caller can still
-  /// be told why it is refused.
+  /// Runs an operation with a timeout of \p Time. After the timeout the
+  /// operation is cancelled, but the connection stays open so that an error
+  /// response can still be sent.
   template <typename StartFn>
   IoOutcome timed(clock::Duration Time, StartFn &&Start) {
     const std::uint64_t OperationId = ++CurrentOperation_;
@@ -218,14 +217,14 @@
     return true;
   }
 
-  /// Waits on the socket without a buffer, so that an idle connection costs
-  /// only its fiber.
+  /// Waits for the next request with the buffer shrunk, so that an idle
+  /// connection uses little memory besides its fiber.
   bool waitForFirstByte() {
     if (Buffer_.size() > 0)
       return true;
     Buffer_.shrink_to_fit();
     Idle_ = true;
-    // A read of no bytes would return at once; read one small part instead.
+    // A read of zero bytes would complete at once, so read a small part.
     const IoOutcome Outcome = timed(Limits_.IdleTimeout_, [&](auto Done) {
       Stream_.async_read_some(Buffer_.prepare(FirstReadBytes), Done);
     });
@@ -285,7 +284,7 @@
     Into.result(static_cast<unsigned>(From.Status_));
     for (const Header &Field : From.Headers_.all())
       Into.set(Field.Name_, Field.Value_);
-    // An unread body would be taken for the next request.
+    // On a kept connection, an unread body would be parsed as the next request.
     if (!Parser_->is_done())
       KeepAlive_ = false;
     Into.keep_alive(KeepAlive_);
@@ -304,9 +303,10 @@
     }
   }
 
-  /// Reads and drops what the caller still sends, within bounds. Closing a
-  /// socket with unread input makes the kernel reset the connection, and the
-  /// caller would lose the answer that it was just sent.
+  /// Reads and discards further input, up to MaxDrainBytes and with at most
+  /// DrainTime for each read. Closing a socket with unread input makes the
+  /// kernel reset the connection, and the caller would lose the response that
+  /// was just sent.
   void drainInput() {
     if (Broken_)
       return;
@@ -338,7 +338,7 @@
           Self->Stream_.non_blocking(true, PeekError);
           Self->Stream_.receive(boost::asio::buffer(&Byte, 1),
                                 tcp::socket::message_peek, PeekError);
-          // A readable byte is a pipelined request: stop watching.
+          // Input is a pipelined request and not a disconnect: stop watching.
           if (!PeekError || PeekError == boost::asio::error::would_block)
             return;
           auto Callback = std::move(Self->OnCallerDisconnected_);
--- a/src/framework/http/httptypes.h
+++ b/src/framework/http/httptypes.h
@@ -19,7 +19,8 @@
   std::string str() const { return Ip_ + ":" + std::to_string(Port_); }
 };
 
-/// Reads "ip:port". Empty when the text is not of that form.
+/// Parses "ip:port" with a numeric IP address. Returns an empty optional if
+/// \p Text is malformed.
 std::optional<Address> parseAddress(std::string_view Text);
 
 struct Header {
@@ -27,7 +28,7 @@
   std::string Value_;
 };
 
-/// Header fields in order; look-up ignores case.
+/// Header fields in the order of their addition. Look-up is case-insensitive.
 class Headers {
 public:
   void add(std::string_view Name, std::string_view Value);
@@ -51,7 +52,7 @@
   std::string Body_;
 };
 
-/// Path and decoded query parameters of a request target.
+/// Path segments and query parameters of a request target, percent-decoded.
 struct Target {
   std::vector<std::string> Segments_;
   std::vector<Header> Query_;
@@ -59,6 +60,8 @@
   std::optional<std::string_view> query(std::string_view Name) const;
 };
 
+/// Splits a request target into percent-decoded path segments and query
+/// parameters. Empty segments and parameters are skipped.
 Target parseTarget(std::string_view Text);
 
 } // namespace laburnumspread::framework::http
--- a/src/framework/ids/rendezvous.cpp
+++ b/src/framework/ids/rendezvous.cpp
@@ -10,8 +10,8 @@
 
 std::uint64_t rendezvousWeight(std::uint64_t CandidateHash,
                                std::uint64_t ItemHash) {
-  // Finaliser of SplitMix64: cheap, and each input bit changes half of the
-  // output bits, so that owners are spread evenly.
+  // SplitMix64 finalizer: cheap, and each input bit flips half of the output
+  // bits on average, so that items are distributed evenly over candidates.
   std::uint64_t Mixed = CandidateHash ^ (ItemHash * 0x9e3779b97f4a7c15ULL);
   Mixed = (Mixed ^ (Mixed >> 30)) * 0xbf58476d1ce4e5b9ULL;
   Mixed = (Mixed ^ (Mixed >> 27)) * 0x94d049bb133111ebULL;
--- a/src/framework/ids/rendezvous.h
+++ b/src/framework/ids/rendezvous.h
@@ -5,13 +5,13 @@
 
 namespace laburnumspread::framework::ids {
 
-/// 64-bit hash of a text (xxHash3). Equal on every machine and in every
-/// version of the program, since entries compare results with each other.
+/// 64-bit XXH3 hash of \p Text. The value must be the same on every machine and
+/// in every release, because entries compare results with each other.
 std::uint64_t stableHash(std::string_view Text);
 
-/// Weight of a candidate for an item in rendezvous hashing: the candidate with
-/// the highest weight owns the item. Removing a candidate moves only the items
-/// that it owned.
+/// Weight of a candidate for an item in rendezvous hashing. The candidate with
+/// the highest weight owns the item, so that removing a candidate moves only
+/// the items that it owned.
 std::uint64_t rendezvousWeight(std::uint64_t CandidateHash,
                                std::uint64_t ItemHash);
 
--- a/src/framework/ids/strongid.h
+++ b/src/framework/ids/strongid.h
@@ -9,7 +9,8 @@
 
 namespace laburnumspread::framework::ids {
 
-/// A name that cannot be mistaken for a name of another kind.
+/// String identifier whose type is distinguished by \p Tag, so that names of
+/// different kinds do not convert into each other.
 template <typename Tag> class StrongName {
 public:
   StrongName() = default;
@@ -30,7 +31,8 @@
   std::string Text_;
 };
 
-/// A number with a unit, or a sequence number, that mixes with no other kind.
+/// Quantity or sequence number whose type is distinguished by \p Tag, so that
+/// numbers of different kinds do not convert into each other.
 template <typename Tag, typename Rep = std::uint64_t> class StrongNumber {
 public:
   constexpr StrongNumber() = default;
--- a/src/framework/log/log.cpp
+++ b/src/framework/log/log.cpp
@@ -27,7 +27,7 @@
   return Limiter;
 }
 
-/// Takes formatted lines from the logging library.
+/// Writes lines formatted by Easylogging++ to the output buffer.
 class OutputBufferCallback : public el::LogDispatchCallback {
 protected:
   void handle(const el::LogDispatchData *Data) override {
@@ -53,7 +53,8 @@
   return "error";
 }
 
-/// Quotes and escapes, so that a value can neither end its field nor its line.
+/// Quotes and escapes \p Text as a JSON string, so that a value cannot break
+/// out of its field or line.
 std::string quoted(std::string_view Text) {
   return boost::json::serialize(
       boost::json::value(boost::json::string_view(Text.data(), Text.size())));
--- a/src/framework/log/log.h
+++ b/src/framework/log/log.h
@@ -14,18 +14,20 @@
 /// Sets the format of all lines and the lowest level that is written.
 void configure(Format LineFormat, Level Lowest);
 
-/// Hands on what is buffered. Lines wait for some kilobytes or for this call,
-/// which is to be made several times a second and before the process ends.
+/// Writes buffered lines to standard output. Lines are otherwise buffered until
+/// a few kilobytes are pending, so call this several times per second and
+/// before the process exits. Logs how many lines were suppressed or dropped.
 void flush();
 
 /// Changes the lowest level while the process runs.
 void setLevel(Level Lowest);
 Level level();
 
-/// "debug", "info", "warning" or "error".
+/// Parses "debug", "info", "warning" or "error" into \p Into. Any other text is
+/// an InvalidArgument error and leaves \p Into unchanged.
 absl::Status parseLevel(std::string_view Text, Level &Into);
 
-/// One structured line, written when the object goes out of scope:
+/// A structured log line, written when the object is destroyed:
 /// `Event(Level::Info, "drain.started").field("vm", Name);`
 class Event {
 public:
--- a/src/framework/log/logratelimiter.h
+++ b/src/framework/log/logratelimiter.h
@@ -6,20 +6,21 @@
 
 namespace laburnumspread::framework::log {
 
-/// Bounds how many lines are written in a second, so that a storm of events
-/// does not take the processor from requests. Lines that tell of trouble are
-/// the last to go: a part of the budget is theirs alone.
+/// Limits the number of log lines per second, so that a burst of events does
+/// not take CPU time from requests. Part of the limit is reserved for lines of
+/// level Warning and above.
 class LogRateLimiter {
 public:
-  /// Several times what the holder of a cell of 48 workers writes on a calm
-  /// day, some 240 lines a second.
+  /// Several times the normal rate: the leader of a cell with 48 workers writes
+  /// about 240 lines per second.
   static constexpr std::uint32_t MaxLinesPerSecond = 2000;
   static constexpr std::uint32_t ReservedForWarnings = 500;
 
-  /// Whether a line may be written at \p Now.
+  /// Returns whether a line may be written at \p Now, and counts it. Windows of
+  /// one second start with the first line after the previous window.
   bool admit(bool IsWarning, clock::TimePoint Now);
 
-  /// Lines left out in seconds that are over, once.
+  /// Returns and resets the number of lines suppressed in past windows.
   std::uint64_t takeSuppressed();
 
 private:
--- a/src/framework/log/outputbuffer.h
+++ b/src/framework/log/outputbuffer.h
@@ -7,22 +7,25 @@
 
 namespace laburnumspread::framework::log {
 
-/// Lines on their way to a descriptor. Never waits for the reader: what does
-/// not fit while the reader stands still is dropped and counted.
+/// Bounded output buffer for a file descriptor. Never blocks on a slow reader:
+/// lines that do not fit are dropped and counted.
 class OutputBuffer {
 public:
   static constexpr std::size_t MaxBytes = 256 * 1024;
-  /// A pipe takes this many bytes without waiting when it is writable at all.
+  /// A writable pipe accepts this many bytes without blocking.
   static constexpr std::size_t MaxWriteBytes = 4096;
 
   explicit OutputBuffer(int Descriptor) : Descriptor_(Descriptor) {}
 
+  /// Buffers \p Line, or drops it if it does not fit. Flushes once
+  /// MaxWriteBytes are pending.
   void add(std::string_view Line);
-  /// Hands on as much as the reader takes.
+  /// Writes as much as the descriptor accepts without blocking.
   void flush();
 
+  /// Number of buffered bytes.
   std::size_t size() const { return Pending_.size(); }
-  /// Lines dropped since the last call.
+  /// Returns and resets the number of dropped lines.
   std::uint64_t takeDropped();
 
 private:
--- a/src/framework/log/tests/outputbuffertest.cpp
+++ b/src/framework/log/tests/outputbuffertest.cpp
@@ -36,8 +36,8 @@
   BOOST_TEST(Reader.readSome() == "a\nb\n");
 }
 
-// Requests would wait for whoever reads the log: a terminal that was stopped,
-// a collector that hangs.
+// A blocking write would stall requests when the log's reader stops reading,
+// such as a suspended terminal or a log collector that hangs.
 BOOST_AUTO_TEST_CASE(BlockedReaderDropsLinesWithoutWaiting) {
   Pipe Reader;
   OutputBuffer Out(Reader.Ends_[1]);
@@ -47,7 +47,7 @@
   BOOST_TEST(Out.size() <= OutputBuffer::MaxBytes);
   BOOST_TEST(Out.takeDropped() > 0u);
   BOOST_TEST(Out.takeDropped() == 0u);
-  // It reads again: what was kept comes, whole.
+  // Once the reader resumes, the buffered lines arrive complete.
   std::string Read;
   while (Out.size() > 0) {
     Read += Reader.readSome();
--- a/src/framework/metrics/metrics.cpp
+++ b/src/framework/metrics/metrics.cpp
@@ -16,19 +16,19 @@
 
 constexpr double HighQuantile = 0.99;
 
-/// The name before its labels.
+/// Metric family: the name without its labels.
 std::string_view familyOf(std::string_view Name) {
   return Name.substr(0, Name.find('{'));
 }
 
-/// Adds a label to a name that may already have some.
+/// Appends a label to a name that may already have labels.
 std::string withLabel(const std::string &Name, const std::string &Label) {
   if (Name.ends_with('}'))
     return Name.substr(0, Name.size() - 1) + "," + Label + "}";
   return Name + "{" + Label + "}";
 }
 
-/// Puts a suffix between a name and its labels.
+/// Inserts a suffix between a name and its labels.
 std::string withSuffix(const std::string &Name, std::string_view Suffix) {
   const std::string_view Family = familyOf(Name);
   return std::string(Family) + std::string(Suffix) + Name.substr(Family.size());
--- a/src/framework/metrics/metrics.h
+++ b/src/framework/metrics/metrics.h
@@ -10,7 +10,7 @@
 
 namespace laburnumspread::framework::metrics {
 
-/// Counts upwards from the start of the process.
+/// Monotonic counter that starts at 0 when the process starts.
 class Counter {
 public:
   void add(std::uint64_t By = 1) { Value_ += By; }
@@ -20,7 +20,7 @@
   std::uint64_t Value_ = 0;
 };
 
-/// A level that goes up and down.
+/// Value that can go up and down.
 class Gauge {
 public:
   void set(double Value) { Value_ = Value; }
@@ -31,7 +31,8 @@
 };
 
 /// Distribution of a measured quantity: count, sum and streaming estimates of
-/// the median and the 99th percentile (Boost.Accumulators, P-square).
+/// the median and the 99th percentile (P-square algorithm of
+/// Boost.Accumulators). Values have the unit of the metric's name.
 class Summary {
 public:
   Summary();
@@ -48,18 +49,19 @@
   std::unique_ptr<Accumulators> Accumulators_;
 };
 
-/// Distribution of a time over fixed bounds, as the text exposition's
-/// cumulative buckets.
+/// Distribution of a duration over fixed cumulative buckets, as in the
+/// Prometheus text format.
 class Histogram {
 public:
-  /// Upper bounds in seconds, from a round trip to a caller's deadline.
+  /// Upper bounds of the buckets in seconds, from a network round trip to a
+  /// caller's deadline.
   static constexpr std::array<double, 11> Bounds = {
       0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5};
 
   void record(double Seconds);
   std::uint64_t count() const { return Count_; }
   double sum() const { return Sum_; }
-  /// How many were at or below Bounds[\p I].
+  /// Number of recorded values at or below Bounds[\p I].
   std::uint64_t cumulativeCount(std::size_t I) const { return Buckets_[I]; }
 
 private:
@@ -68,17 +70,18 @@
   double Sum_ = 0;
 };
 
-/// All metrics of a process by name. Labels are part of the name, in text
-/// exposition form: `requests_total{outcome="ran"}`.
+/// All metrics of a process by name. Labels are part of the name, in the
+/// Prometheus text format: `requests_total{outcome="ran"}`.
 class Registry {
 public:
+  /// Each accessor returns the metric of that name and creates it if needed.
   Counter &counter(std::string_view Name);
   Gauge &gauge(std::string_view Name);
   Summary &summary(std::string_view Name);
-  /// \p Name without labels.
+  /// \p Name must not have labels.
   Histogram &histogram(std::string_view Name);
 
-  /// The text exposition format.
+  /// All metrics in the Prometheus text format.
   std::string exposition() const;
 
 private:
--- a/src/framework/settings/fielderror.h
+++ b/src/framework/settings/fielderror.h
@@ -5,7 +5,7 @@
 
 namespace laburnumspread::framework::settings {
 
-/// One fault of a JSON document: where it stands and what is wrong.
+/// Validation error of a JSON document: path of the field and what is wrong.
 struct FieldError {
   std::string Path_;
   std::string Reason_;
@@ -13,7 +13,7 @@
 
 using FieldErrors = std::vector<FieldError>;
 
-/// All faults on one line, "path: reason; path: reason".
+/// Formats all errors on one line, as "path: reason; path: reason".
 std::string describe(const FieldErrors &Errors);
 
 } // namespace laburnumspread::framework::settings
--- a/src/framework/settings/jsonreader.h
+++ b/src/framework/settings/jsonreader.h
@@ -14,12 +14,12 @@
 
 namespace laburnumspread::framework::settings {
 
-/// Parses JSON with comments and trailing commas. A syntax error names the
-/// line.
+/// Parses JSON with comments and trailing commas. Returns InvalidArgument with
+/// the line number for malformed JSON or nesting above 32 levels.
 absl::StatusOr<boost::json::value> parseJson(std::string_view Text);
 
-/// Line (from 1) on which the last part of \p Path first stands as a key in
-/// \p Text, or 0 when it does not.
+/// Line number (from 1) of the first key in \p Text that equals the last
+/// component of \p Path, or 0 if there is none.
 int lineOfField(std::string_view Text, std::string_view Path);
 
 /// Inclusive range of an integer field.
@@ -28,10 +28,10 @@
   std::int64_t High_ = std::numeric_limits<std::int64_t>::max();
 };
 
-/// Reads the fields of one JSON object by name and type, and collects every
-/// fault with its path instead of stopping at the first. Fields that were
-/// never asked for are faults too (finish()), so that a misspelt name cannot
-/// be passed over.
+/// Reads the fields of a JSON object by name and type. Collects all validation
+/// errors with their paths instead of stopping at the first. finish() also
+/// reports fields that were never read, so that a misspelt name is not
+/// silently ignored.
 class JsonReader {
 public:
   JsonReader(const boost::json::value &Value, std::string Path,
@@ -40,6 +40,10 @@
   bool has(std::string_view Name) const;
   const std::string &path() const { return Path_; }
 
+  /// These return the field's value. On an error they record it and return the
+  /// default; a required field has the empty string or the lower end of its
+  /// range as default. A required string must not be empty. \p Low and \p High
+  /// are inclusive.
   std::string requiredString(std::string_view Name);
   std::string optionalString(std::string_view Name, std::string_view Default);
   std::int64_t requiredInt(std::string_view Name, Range Allowed);
@@ -49,11 +53,12 @@
                         double High);
   bool optionalBool(std::string_view Name, bool Default);
 
-  /// The object under \p Name; when it is absent an empty one, and a fault is
-  /// noted only if it is \p Required.
+  /// Reader for the object \p Name. If the field is absent, the reader is for
+  /// an empty object, and an error is recorded only if it is \p Required.
   JsonReader child(std::string_view Name, bool Required);
 
-  /// Calls \p Visit with a reader for each object of the array \p Name.
+  /// Calls \p Visit with a reader for each object of the array \p Name, then
+  /// that reader's finish(). An absent array counts as empty.
   template <typename Visitor>
   void eachObject(std::string_view Name, Visitor &&Visit) {
     const boost::json::array *Items = arrayField(Name);
@@ -66,15 +71,16 @@
     }
   }
 
+  /// The array \p Name of strings; empty if it is absent.
   std::vector<std::string> stringList(std::string_view Name);
 
-  /// Marks a field as known without reading it.
+  /// Accepts field \p Name without reading it.
   void markKnown(std::string_view Name) { Known_.insert(std::string(Name)); }
 
-  /// Notes a fault of field \p Name.
+  /// Records an error for field \p Name.
   void addError(std::string_view Name, std::string_view Reason);
 
-  /// Notes a fault for each field that was not asked for.
+  /// Records an error for each field that was neither read nor marked as known.
   void finish();
 
 private:
--- a/src/framework/settings/settingsfile.h
+++ b/src/framework/settings/settingsfile.h
@@ -6,12 +6,14 @@
 
 namespace laburnumspread::framework::settings {
 
-/// One line for each fault: "file:line: field: reason".
+/// Formats each error on a line of its own, as "file:line: field: reason". The
+/// line number is left out if the field does not occur in \p Text.
 std::string formatErrors(const FieldErrors &Errors, std::string_view Text,
                          const std::string &File);
 
-/// Reads settings from \p Text with \p ReadFields, which is given a reader of
-/// the whole document. All faults are in the error.
+/// Parses settings from \p Text. \p ReadFields is called with a reader for the
+/// whole document and returns the settings. Returns InvalidArgument with all
+/// validation errors.
 template <typename Settings, typename ReadFieldsFn>
 absl::StatusOr<Settings> readSettingsText(std::string_view Text,
                                           const std::string &File,
@@ -28,10 +30,11 @@
   return Result;
 }
 
-/// The whole text of a settings file.
+/// Returns the content of a settings file, or NotFound if it cannot be opened.
 absl::StatusOr<std::string> readSettingsFile(const std::string &File);
 
-/// A Z85 key of a CURVE pair.
+/// Reads a required field with a Z85-encoded CURVE key. Records an error if it
+/// does not have 40 characters.
 std::string readCurveKey(JsonReader &Reader, std::string_view Field);
 
 } // namespace laburnumspread::framework::settings
--- a/src/framework/settings/settingswatch.h
+++ b/src/framework/settings/settingswatch.h
@@ -4,16 +4,16 @@
 
 namespace laburnumspread::framework::settings {
 
-/// Tells when the text of a settings file is another than at the last look. A
-/// file may change without a signal, so it is looked at from time to time. One
-/// that cannot be read just now counts as unchanged: it is being replaced.
+/// Detects changes to the content of a settings file by polling, since a file
+/// may change without a signal to the process. A file that cannot be read
+/// counts as unchanged, because it may be in the middle of being replaced.
 class SettingsWatch {
 public:
   explicit SettingsWatch(std::string File) : File_(std::move(File)) {
     changed();
   }
 
-  /// Reads the file. True when its text has changed since the last call.
+  /// Reads the file. Returns whether its content differs from the last call.
   bool changed() {
     auto Text = readSettingsFile(File_);
     if (!Text.ok() || *Text == Text_)
