--- a/standin/endpoint.cpp
+++ b/standin/endpoint.cpp
@@ -13,9 +13,11 @@
 
 namespace {
 
+/// Time after which an endpoint in mode Silent responds after all.
 constexpr auto SilentDuration = 60s;
 constexpr std::size_t OversizeResponseBytes = 64 * 1024 * 1024;
 
+/// The number after `"workMs":` in \p Body, or 0 if there is none.
 std::int64_t parseWorkMillis(const std::string &Body) {
   constexpr std::string_view Field = "\"workMs\":";
   const std::size_t At = Body.find(Field);
@@ -36,6 +38,8 @@
   Call.reply(Answer);
 }
 
+/// End of the task lease from the request's header; TimePoint::max() without
+/// the header.
 TimePoint parseTaskLease(const http::Request &Head) {
   const auto Text = Head.Headers_.find("Task-Lease-Until");
   if (!Text)
--- a/standin/endpoint.h
+++ b/standin/endpoint.h
@@ -10,9 +10,9 @@
 
 namespace laburnumspread::standin {
 
-/// One endpoint: takes a request into a slot, works for the time that the body
-/// asks for (`{"workMs": 20}`) and answers with the body it was sent. Stops
-/// work when its lease ends or its connection closes.
+/// Simulated endpoint. A request occupies a slot for the duration given in its
+/// body (`{"workMs": 20}`, in milliseconds), and the response echoes the body.
+/// Work stops when the task lease ends or the connection closes.
 class Endpoint {
 public:
   Endpoint(std::string Vm, std::uint32_t Slots, Faults &Faults, VmFleet &Vms,
@@ -20,6 +20,8 @@
       : Vm_(std::move(Vm)), Slots_(Slots), Faults_(Faults), Vms_(Vms),
         Ledger_(Ledger) {}
 
+  /// Serves a request. Refuses it with status 503 if all slots are busy or its
+  /// task lease has ended, and drops the connection if the VM is down.
   void handle(framework::http::Exchange &Call);
 
 private:
--- a/standin/faults.h
+++ b/standin/faults.h
@@ -6,39 +6,44 @@
 
 namespace laburnumspread::standin {
 
-/// How an endpoint misbehaves.
+/// Behaviour of an endpoint under fault injection.
 enum class EndpointMode {
   Good,
-  /// Takes requests and never answers.
+  /// Accepts requests but responds only after a minute.
   Silent,
-  /// Answers 500 at once.
+  /// Responds with status 500 at once.
   Fail,
-  /// Announces more bytes than it sends, then closes.
+  /// Closes the connection before the announced Content-Length is sent.
   Truncate,
-  /// Does the work, then waits before it answers.
+  /// Finishes the work, then delays the response.
   Late,
-  /// Sends an answer of many megabytes.
+  /// Responds with a body of 64 MiB.
   Oversize
 };
 
 struct EndpointFault {
   EndpointMode Mode_ = EndpointMode::Good;
+  /// Delay of the response in mode Late.
   std::int64_t DelayMs_ = 0;
 };
 
-/// What is set to go wrong. Changed over HTTP while the program runs.
+/// Faults to inject. Can be changed over HTTP while the program runs.
 struct Faults {
+  /// The key-value service drops all connections.
   bool StoreDown_ = false;
+  /// Delay of each call to the key-value service.
   std::int64_t StoreSlowMs_ = 0;
-  /// Writes still to be done whose answers are then dropped.
+  /// Number of further writes that are executed but whose responses are lost.
   std::int64_t LoseAnswers_ = 0;
-  /// Watches stay open and say nothing more.
+  /// Watches stay open but deliver no events.
   bool WatchSilent_ = false;
+  /// Delay until a change of a VM appears in the VM list.
   std::int64_t ListLagMs_ = 0;
-  /// VMs of this name come back broken from their next reboots.
+  /// Number of further reboots after which the VM's endpoint fails.
   std::int64_t BadReboots_ = 0;
   std::map<std::string, EndpointFault> Endpoints_;
 
+  /// Fault of the endpoint on \p Vm; mode Good if none is set.
   EndpointFault endpointFault(const std::string &Vm) const {
     const auto It = Endpoints_.find(Vm);
     return It == Endpoints_.end() ? EndpointFault() : It->second;
--- a/standin/kvservice.cpp
+++ b/standin/kvservice.cpp
@@ -164,7 +164,7 @@
     }
   }
   json::object Result{{"responses", std::move(Answers)}};
-  // As the gateway does, a false flag is left out.
+  // The etcd gateway omits false flags.
   if (Succeeded)
     Result["succeeded"] = true;
   return Result;
--- a/standin/kvservice.h
+++ b/standin/kvservice.h
@@ -13,20 +13,21 @@
 
 namespace laburnumspread::standin {
 
-/// Calls of the key-value service since the start, by kind.
+/// Number of calls to the key-value service since the start, by path below
+/// `/v3`.
 using CallCounts = std::map<std::string, std::uint64_t>;
 
-/// Serves the part of the etcd v3 JSON gateway that the project uses.
+/// Simulates the subset of the etcd v3 JSON gateway that the project uses.
 class KvService {
 public:
   explicit KvService(Faults &Faults) : Faults_(Faults) {}
 
-  /// Serves `/v3/...`.
+  /// Serves a request to `/v3/...`.
   void handle(framework::http::Exchange &Call);
 
   KvState &state() { return State_; }
   const CallCounts &calls() const { return Calls_; }
-  /// Wakes watchers after a change from outside.
+  /// Wakes all watches. Call after changing state() or the faults directly.
   void notifyWatchers() { Changed_.notify_all(); }
 
 private:
--- a/standin/kvstate.h
+++ b/standin/kvstate.h
@@ -13,6 +13,7 @@
 
 using framework::clock::TimePoint;
 
+/// Value of a key with its etcd metadata.
 struct StoredValue {
   std::string Value_;
   std::int64_t CreateRevision_ = 0;
@@ -28,8 +29,8 @@
   std::int64_t Revision_ = 0;
 };
 
-/// The data of the key-value service: revisions, history, leases. All in
-/// memory; no I/O.
+/// In-memory state of the key-value service: values, event history and leases.
+/// Performs no I/O.
 class KvState {
 public:
   static constexpr std::size_t MaxValueBytes = 1024 * 1024;
@@ -39,22 +40,29 @@
   const std::map<std::string, StoredValue> &items() const { return Items_; }
   const StoredValue *find(const std::string &Key) const;
 
-  /// Opens the next revision; the writes that follow belong to it.
+  /// Starts a new revision, to which the following writes belong.
   void beginWrite() { ++Revision_; }
   void put(const std::string &Key, std::string Value, std::int64_t Lease);
+  /// Deletes the keys in the range, see inRange(). Returns their number.
   std::size_t eraseRange(const std::string &From, const std::string &To);
 
-  /// Events at or after \p Revision; empty optional when compacted.
+  /// Events at or after \p Revision; an empty optional if some of them have
+  /// been compacted.
   std::optional<std::vector<KvEvent>> eventsSince(std::int64_t Revision) const;
   void compact(std::int64_t Revision);
 
+  /// Grants a lease of \p Seconds and returns its ID.
   std::int64_t grantLease(std::int64_t Seconds, TimePoint Now);
-  /// Seconds granted again, or 0 when the lease is gone.
+  /// Renews a lease. Returns its time to live in seconds, or 0 if it does not
+  /// exist.
   std::int64_t keepLease(std::int64_t Id, TimePoint Now);
+  /// Ends a lease and deletes its keys.
   void revokeLease(std::int64_t Id);
   void expireLeases(TimePoint Now);
 
-  /// Copies kept to come back to, as a service restored from a backup does.
+  /// Saves a backup for restore(), which simulates a store that was restored
+  /// from a backup: its revision goes back, and older history is compacted.
+  /// Leases are not part of the backup.
   void save() { Backup_ = {Items_, Revision_}; }
   void restore();
 
@@ -78,8 +86,8 @@
   std::int64_t NextLease_ = 1;
 };
 
-/// Whether a key lies in the range of the gateway: an empty end means the one
-/// key, a zero byte means no end.
+/// Whether \p Key is in the etcd range [\p From, \p To). An empty \p To selects
+/// the single key \p From; a zero byte means no upper bound.
 bool inRange(const std::string &Key, const std::string &From,
              const std::string &To);
 
--- a/standin/main.cpp
+++ b/standin/main.cpp
@@ -13,8 +13,8 @@
 #include <boost/asio/signal_set.hpp>
 #include <cxxopts.hpp>
 
-// laburnum-standin: the platform's stand-in. Reads the VMs of a declared fleet
-// and serves an endpoint for each on its declared address.
+// laburnum-standin: simulates the platform. Reads a file of declared resources
+// and serves an endpoint for each VM on its declared address.
 
 namespace {
 
@@ -104,13 +104,13 @@
 
 int main(int ArgumentCount, char **Arguments) {
   cxxopts::Options Options("laburnum-standin",
-                           "Stand-in of the platform, for tests only");
+                           "Simulated platform, for tests only");
   Options.add_options()(
       "listen", "control address",
       cxxopts::value<std::string>()->default_value("127.0.0.1:12379"))(
-      "fleet", "file of declared resources; its VMs are served",
+      "fleet", "file of declared resources; an endpoint is served for each VM",
       cxxopts::value<std::string>())(
-      "reboot-ms", "time of a reboot",
+      "reboot-ms", "duration of a reboot in milliseconds",
       cxxopts::value<std::int64_t>()->default_value("1500"))("help", "help");
   try {
     const auto Parsed = Options.parse(ArgumentCount, Arguments);
--- a/standin/platform.cpp
+++ b/standin/platform.cpp
@@ -59,7 +59,7 @@
   return std::nullopt;
 }
 
-/// Fields that are not given stay as they are.
+/// Updates \p Into. Fields that are absent keep their values.
 void readFaults(JsonReader &Reader, Faults &Into) {
   Into.StoreDown_ = Reader.optionalBool("storeDown", Into.StoreDown_);
   Into.StoreSlowMs_ = Reader.optionalInt("storeSlowMs", Into.StoreSlowMs_, {});
--- a/standin/tests/platformtest.cpp
+++ b/standin/tests/platformtest.cpp
@@ -24,7 +24,7 @@
 TimePoint testDeadline() { return framework::clock::SystemClock().now() + 20s; }
 
 struct Fixture {
-  // Fibers of the platform outlive the test case.
+  // Never destroyed, because the platform's fibers outlive the test case.
   Platform &Platform_ = *new Platform(sharedIo(), {});
   store::EtcdStore Store_{sharedIo(), start()};
 
@@ -58,8 +58,8 @@
                  ->Items_.empty());
 }
 
-// The store does the write and drops its answer. The client must report that
-// it does not know, and find the write when it reads.
+// The store executes a write but its response is lost. The client must report
+// an error, since the outcome is unknown, and a later read returns the write.
 BOOST_FIXTURE_TEST_CASE(LostResponseReportsErrorButKeepsWrite, Fixture) {
   Platform_.faults().LoseAnswers_ = 1;
   store::Transaction Txn;
@@ -116,8 +116,8 @@
   BOOST_TEST(!State.find("/k"));
 }
 
-// The list shows a VM as live for the lag after it has gone, and a reboot that
-// is asked for twice happens once.
+// The list reports the old state of a VM until the lag has passed, and a reboot
+// that is requested twice with the same boot ID happens only once.
 BOOST_AUTO_TEST_CASE(VmListLagsAndRepeatedRebootIsIgnored) {
   Faults Injected;
   Injected.ListLagMs_ = 1000;
--- a/standin/vmfleet.h
+++ b/standin/vmfleet.h
@@ -12,6 +12,7 @@
 using framework::clock::Duration;
 using framework::clock::TimePoint;
 
+/// State of a VM.
 struct VmRow {
   /// "live", "leaving" or "gone".
   std::string State_ = "live";
@@ -19,7 +20,7 @@
   TimePoint RebootedAt_{};
   bool Rebooting_ = false;
   std::uint64_t Reboots_ = 0;
-  /// Version of the list in which the row last changed.
+  /// List version of the last change.
   std::int64_t ChangedAt_ = 0;
 
   std::string bootId(const std::string &Name) const {
@@ -27,26 +28,29 @@
   }
 };
 
-/// The platform's VMs: the true state, and the list that lags behind it.
+/// VMs of the platform: their current state, and the VM list, which lags behind
+/// it by Faults::ListLagMs_.
 class VmFleet {
 public:
   VmFleet(Faults &Faults, Duration RebootTime)
       : Faults_(Faults), RebootTime_(RebootTime) {}
 
   void add(const std::string &Name, TimePoint Now);
-  /// False when there is no such VM.
+  /// Returns false if the VM does not exist.
   bool setState(const std::string &Name, const std::string &State,
                 TimePoint Now);
-  /// Starts a reboot if the VM's boot is still \p IfBootId; a repeated call
-  /// for a boot that is over changes nothing.
+  /// Starts a reboot if the VM's boot ID is \p IfBootId. A repeated call for a
+  /// past boot has no effect. Returns false if the VM does not exist.
   bool reboot(const std::string &Name, const std::string &IfBootId,
               TimePoint Now);
-  /// Ends reboots whose time has come.
+  /// Completes reboots that were started at least the reboot time ago.
   void tick(TimePoint Now);
 
+  /// Whether the VM exists, is not rebooting and is not gone.
   bool running(const std::string &Name) const;
+  /// Current state of all VMs.
   const std::map<std::string, VmRow> &rows() const { return Rows_; }
-  /// The list as it was a lag ago.
+  /// The VM list at \p Now: the state as it was Faults::ListLagMs_ earlier.
   const std::map<std::string, VmRow> &listedRows(TimePoint Now);
 
 private:
--- a/standin/workledger.h
+++ b/standin/workledger.h
@@ -6,21 +6,23 @@
 
 namespace laburnumspread::standin {
 
-/// What the endpoints have run: the truth that refusals and limits are checked
-/// against.
+/// Work that the endpoints have actually executed. Tests check refusals, limits
+/// and duplicate executions against it.
 struct WorkLedger {
   std::uint64_t Started_ = 0;
   std::uint64_t Finished_ = 0;
-  /// Ended by their lease or because their connection closed.
+  /// Stopped because the lease ended or the connection closed.
   std::uint64_t Stopped_ = 0;
   std::uint64_t RefusedBusy_ = 0;
   std::uint64_t RefusedLease_ = 0;
   std::uint64_t RefusedDown_ = 0;
-  /// Requests cut off by a reboot.
+  /// Aborted by a reboot of the VM.
   std::uint64_t CutByReboot_ = 0;
+  /// Keyed by "team/idempotency key".
   std::map<std::string, std::uint64_t> StartsByKey_;
   std::map<std::string, std::uint64_t> StartsByVm_;
   std::map<std::string, std::int64_t> RunningByTeam_;
+  /// Highest number of concurrent requests of each team.
   std::map<std::string, std::int64_t> PeakRunningByTeam_;
 
   std::uint64_t keysStartedTwice() const {
