--- a/fuzz/fuzzer.cpp
+++ b/fuzz/fuzzer.cpp
@@ -3,9 +3,8 @@
 #include <cstddef>
 #include <cstdint>
 
-// libFuzzer's entry point; LABURNUM_FUZZ_TARGET names the function.
-
-// The name is libFuzzer's.
+// libFuzzer's entry point, whose name libFuzzer prescribes. The build defines
+// LABURNUM_FUZZ_TARGET as the name of a function in fuzz/targets.h.
 // NOLINTNEXTLINE(readability-identifier-naming)
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *Data,
                                       std::size_t Size) {
--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -17,12 +17,14 @@
 
 namespace {
 
-/// Ends the run: a property does not hold.
+/// Aborts the run if a checked property does not hold.
 void require(bool Condition) {
   if (!Condition)
     std::abort();
 }
 
+/// Checks that a resource that is accepted reads back the same from its stored
+/// form.
 template <typename T> void checkResource(const boost::json::value &Document) {
   framework::settings::FieldErrors Errors;
   const T Object = fleet::readResource<T>(Document, Errors);
--- a/fuzz/targets.h
+++ b/fuzz/targets.h
@@ -4,19 +4,20 @@
 
 namespace laburnumspread::fuzz {
 
-// One function for each kind of input from outside. Each takes any bytes and
-// must neither crash, hang nor let a broken value through.
+// Fuzz targets, one for each kind of external input. Each accepts arbitrary
+// bytes and must not crash, hang or accept a malformed value.
 
-/// An entry's settings file.
+/// Settings file of an entry. A rejected file must yield an error message.
 void settings(std::string_view Bytes);
-/// A resource as an operator sends it, of every kind; what is accepted must
+/// Resource sent by an operator, parsed as each kind. An accepted resource must
 /// read back the same from its stored form.
 void resources(std::string_view Bytes);
-/// A caller's target and header values.
+/// Request target and header values sent by a caller. An accepted idempotency
+/// key must parse again.
 void headers(std::string_view Bytes);
-/// A letter from a peer; what is accepted must encode again.
+/// Message from a peer. An accepted message must decode again after encoding.
 void peers(std::string_view Bytes);
-/// Answers and watch lines of the store, shard values and views.
+/// Responses and watch events of the store, configuration shards and views.
 void store(std::string_view Bytes);
 
 } // namespace laburnumspread::fuzz
--- a/fuzz/tests/corpustest.cpp
+++ b/fuzz/tests/corpustest.cpp
@@ -31,7 +31,8 @@
   return Texts;
 }
 
-/// Changes, drops, repeats or inserts some bytes.
+/// Applies one to four random edits that change, delete, repeat or insert
+/// bytes.
 std::string mutate(std::string Text, std::mt19937_64 &Random) {
   for (std::uint64_t Edits = 1 + Random() % 4; Edits > 0; --Edits) {
     const std::size_t At = Text.empty() ? 0 : Random() % Text.size();
@@ -53,6 +54,8 @@
   return Text;
 }
 
+/// Runs a target on its corpus and on MutationsPerFile mutations of each file.
+/// The seed is fixed, so that every run tests the same inputs.
 template <typename Target> void runCorpus(const char *Name, Target &&Run) {
   std::mt19937_64 Random(20261203);
   for (const std::string &Text : readCorpus(Name)) {
