--- a/cmake/module.cmake
+++ b/cmake/module.cmake
@@ -1,7 +1,8 @@
-# laburnum_module(NAME SOURCES ... DEPENDS ... TESTS ...)
+# laburnum_module(NAME SOURCES ... DEPENDS ... TESTS ... TEST_DEPENDS ...)
 #
-# One static library for each module and, when it has tests, one test program
-# with the module's name as its ctest label.
+# Adds a static library for a module and, if TESTS are given, a test program
+# that is labelled with the module's name in CTest. TEST_DEPENDS are linked into
+# the test program only.
 function(laburnum_module NAME)
   cmake_parse_arguments(M "" "" "SOURCES;DEPENDS;TESTS;TEST_DEPENDS" ${ARGN})
   add_library(${NAME} STATIC ${M_SOURCES})
@@ -11,7 +12,9 @@
   endif()
 endfunction()
 
-# laburnum_test(LABEL TESTS ... DEPENDS ...): a Boost.Test program.
+# laburnum_test(LABEL TESTS ... DEPENDS ...)
+#
+# Adds a Boost.Test program named LABEL_test with the CTest label LABEL.
 function(laburnum_test LABEL)
   if(NOT LABURNUM_TESTS)
     return()
@@ -22,8 +25,9 @@
   target_link_libraries(${LABEL}_test PRIVATE ${T_DEPENDS}
                                               Boost::unit_test_framework)
   add_test(NAME ${LABEL} COMMAND ${LABEL}_test)
-  # Property tests take their seed and run count from here: the same verdict
-  # each time. Set the variable by hand for more runs.
+  # Fixes the seed and the number of runs of RapidCheck properties, so that
+  # results are reproducible. For more runs, set RC_PARAMS and run the program
+  # directly.
   set_tests_properties(${LABEL} PROPERTIES LABELS ${LABEL} TIMEOUT 300
     ENVIRONMENT "RC_PARAMS=seed=20261203 max_success=2000")
 endfunction()
--- a/cmake/testmain.cpp
+++ b/cmake/testmain.cpp
@@ -10,7 +10,7 @@
   const int Result = boost::unit_test::unit_test_main(&init_unit_test,
                                                       ArgumentCount, Arguments);
   std::cout.flush();
-  // Detached fibers (servers, tickers) may be left, and the fiber scheduler
-  // would wait for them for ever in an ordinary exit.
+  // Skip the normal exit: the fiber scheduler would wait forever for detached
+  // fibers, such as servers and timers, that are still running.
   std::_Exit(Result);
 }
