--- a/src/framework/http/httpserver.cpp
+++ b/src/framework/http/httpserver.cpp
@@ -205,7 +205,7 @@
     Parser_->header_limit(Limits_.HeaderBytes_);
     Parser_->body_limit(Limits_.BodyBytes_);
     Answered_ = false;
-    ++Exchanges_;
+    ++CurrentExchange_;
     if (!waitForFirstByte())
       return false;
     const IoOutcome Outcome = timed(Limits_.IoTimeout_, [&](auto Done) {
@@ -326,11 +326,11 @@
 
   void watchForClose() {
     auto Self = shared_from_this();
-    const std::uint64_t Exchange = Exchanges_;
+    const std::uint64_t ExchangeId = CurrentExchange_;
     Stream_.async_wait(
         tcp::socket::wait_read,
-        [Self, Exchange](const beast::error_code &Error) {
-          if (Error || Exchange != Self->Exchanges_ ||
+        [Self, ExchangeId](const beast::error_code &Error) {
+          if (Error || ExchangeId != Self->CurrentExchange_ ||
               !Self->OnCallerDisconnected_)
             return;
           char Byte;
@@ -361,7 +361,7 @@
   std::optional<bhttp::response<bhttp::empty_body>> Streaming_;
   Request Head_;
   std::function<void()> OnCallerDisconnected_;
-  std::uint64_t Exchanges_ = 0;
+  std::uint64_t CurrentExchange_ = 0;
   bool KeepAlive_ = false;
   bool ExpectsContinue_ = false;
   bool Answered_ = false;
--- a/src/framework/log/log.cpp
+++ b/src/framework/log/log.cpp
@@ -37,7 +37,7 @@
 };
 
 Format LineFormat = Format::KeyValue;
-Level Lowest = Level::Info;
+Level CurrentLevel = Level::Info;
 
 std::string_view nameOf(Level Severity) {
   switch (Severity) {
@@ -85,16 +85,16 @@
 
 } // namespace
 
-void configure(Format Chosen, Level LowestLevel) {
-  LineFormat = Chosen;
-  Lowest = LowestLevel;
+void configure(Format NewFormat, Level MinimumLevel) {
+  LineFormat = NewFormat;
+  CurrentLevel = MinimumLevel;
   el::Configurations Settings;
   Settings.setToDefault();
   Settings.setGlobally(el::ConfigurationType::ToFile, "false");
   Settings.setGlobally(el::ConfigurationType::ToStandardOutput, "true");
   Settings.setGlobally(
       el::ConfigurationType::Format,
-      Chosen == Format::Json
+      NewFormat == Format::Json
           ? "{\"time\":\"%datetime{%Y-%M-%dT%H:%m:%s.%g}\",%msg}"
           : "time=%datetime{%Y-%M-%dT%H:%m:%s.%g} %msg");
   el::Loggers::reconfigureAllLoggers(Settings);
@@ -111,9 +111,9 @@
   output().flush();
 }
 
-void setLevel(Level LowestLevel) { Lowest = LowestLevel; }
+void setLevel(Level MinimumLevel) { CurrentLevel = MinimumLevel; }
 
-Level level() { return Lowest; }
+Level level() { return CurrentLevel; }
 
 absl::Status parseLevel(std::string_view Text, Level &Into) {
   for (Level Candidate :
@@ -129,7 +129,7 @@
 
 Event::Event(Level Severity, std::string_view Name)
     : Severity_(Severity),
-      Enabled_(Severity >= Lowest &&
+      Enabled_(Severity >= CurrentLevel &&
                rateLimiter().admit(Severity >= Level::Warning,
                                    clock::SteadyClock().now())) {
   if (!Enabled_)
--- a/standin/endpoint.cpp
+++ b/standin/endpoint.cpp
@@ -65,7 +65,7 @@
   }
   if (Call.head().Target_ == "/healthz")
     return answer(Call, "ok");
-  if (Busy_ >= Slots_) {
+  if (BusySlots_ >= Slots_) {
     ++Ledger_.RefusedBusy_;
     return refuse(Call, "busy");
   }
@@ -73,9 +73,9 @@
     ++Ledger_.RefusedLease_;
     return refuse(Call, "lease-ended");
   }
-  ++Busy_;
+  ++BusySlots_;
   execute(Call, Body);
-  --Busy_;
+  --BusySlots_;
 }
 
 void Endpoint::execute(http::Exchange &Call, const std::string &Body) {
--- a/standin/endpoint.h
+++ b/standin/endpoint.h
@@ -30,7 +30,7 @@
 
   std::string Vm_;
   std::uint32_t Slots_;
-  std::uint32_t Busy_ = 0;
+  std::uint32_t BusySlots_ = 0;
   Faults &Faults_;
   VmFleet &Vms_;
   WorkLedger &Ledger_;
--- a/standin/kvstate.cpp
+++ b/standin/kvstate.cpp
@@ -19,7 +19,7 @@
 void KvState::record(KvEvent Event) {
   History_.push_back(std::move(Event));
   if (History_.size() > MaxHistoryEvents) {
-    Compacted_ = History_.front().Revision_;
+    CompactedRevision_ = History_.front().Revision_;
     History_.pop_front();
   }
 }
@@ -51,7 +51,7 @@
 
 std::optional<std::vector<KvEvent>>
 KvState::eventsSince(std::int64_t Revision) const {
-  if (Revision <= Compacted_)
+  if (Revision <= CompactedRevision_)
     return std::nullopt;
   const auto First =
       std::lower_bound(History_.begin(), History_.end(), Revision,
@@ -62,7 +62,7 @@
 }
 
 void KvState::compact(std::int64_t Revision) {
-  Compacted_ = std::max(Compacted_, Revision);
+  CompactedRevision_ = std::max(CompactedRevision_, Revision);
   while (!History_.empty() && History_.front().Revision_ <= Revision)
     History_.pop_front();
 }
@@ -108,7 +108,7 @@
   Items_ = Backup_.Items_;
   Revision_ = Backup_.Revision_;
   History_.clear();
-  Compacted_ = Revision_;
+  CompactedRevision_ = Revision_;
 }
 
 } // namespace laburnumspread::standin
--- a/standin/kvstate.h
+++ b/standin/kvstate.h
@@ -82,7 +82,7 @@
   std::map<std::int64_t, Lease> Leases_;
   Backup Backup_;
   std::int64_t Revision_ = 1;
-  std::int64_t Compacted_ = 0;
+  std::int64_t CompactedRevision_ = 0;
   std::int64_t NextLease_ = 1;
 };
 
--- a/standin/platform.cpp
+++ b/standin/platform.cpp
@@ -147,13 +147,12 @@
 
 void Platform::handle(http::Exchange &Call) {
   const http::Target Path = http::parseTarget(Call.head().Target_);
-  const std::string First =
-      Path.Segments_.empty() ? "" : Path.Segments_.front();
-  if (First == "v3")
+  const std::string Root = Path.Segments_.empty() ? "" : Path.Segments_.front();
+  if (Root == "v3")
     return Store_.handle(Call);
-  if (First == "faults")
+  if (Root == "faults")
     return handleFaults(Call);
-  if (First == "platform" && Path.Segments_.size() > 1)
+  if (Root == "platform" && Path.Segments_.size() > 1)
     return handlePlatform(Call, Path);
   Call.reply(errorResponse(404, "not found"));
 }
--- a/standin/vmfleet.cpp
+++ b/standin/vmfleet.cpp
@@ -2,8 +2,8 @@
 
 namespace laburnumspread::standin {
 
-void VmFleet::recordChange(TimePoint Now, const std::string &Changed) {
-  Rows_[Changed].ChangedAt_ = ++Version_;
+void VmFleet::recordChange(TimePoint Now, const std::string &Name) {
+  Rows_[Name].ChangedAt_ = ++Version_;
   Snapshots_.push_back({Now, Rows_});
 }
 
--- a/standin/vmfleet.h
+++ b/standin/vmfleet.h
@@ -58,7 +58,7 @@
     TimePoint TakenAt_;
     std::map<std::string, VmRow> Rows_;
   };
-  void recordChange(TimePoint Now, const std::string &Changed);
+  void recordChange(TimePoint Now, const std::string &Name);
 
   Faults &Faults_;
   Duration RebootTime_;
