--- a/fuzz/tests/corpustest.cpp
+++ b/fuzz/tests/corpustest.cpp
@@ -14,7 +14,7 @@
 
 constexpr int MutationsPerFile = 400;
 
-std::vector<std::string> corpusOf(const std::string &Name) {
+std::vector<std::string> readCorpus(const std::string &Name) {
   std::vector<std::filesystem::path> Files;
   for (const auto &File : std::filesystem::directory_iterator(
            std::filesystem::path(LABURNUM_CORPUS) / Name))
@@ -31,8 +31,9 @@
   return Texts;
 }
 
-/// Changes, drops, repeats or inserts some bytes.
-std::string mutated(std::string Text, std::mt19937_64 &Random) {
+/// Applies one to four random edits that change, delete, repeat or insert
+/// bytes.
+std::string mutate(std::string Text, std::mt19937_64 &Random) {
   for (std::uint64_t Edits = 1 + Random() % 4; Edits > 0; --Edits) {
     const std::size_t At = Text.empty() ? 0 : Random() % Text.size();
     switch (Random() % 4) {
@@ -53,12 +54,14 @@
   return Text;
 }
 
+/// Runs a target on its corpus and on MutationsPerFile mutations of each file.
+/// The seed is fixed, so that every run tests the same inputs.
 template <typename Target> void runCorpus(const char *Name, Target &&Run) {
   std::mt19937_64 Random(20261203);
-  for (const std::string &Text : corpusOf(Name)) {
+  for (const std::string &Text : readCorpus(Name)) {
     Run(Text);
     for (int I = 0; I < MutationsPerFile; ++I)
-      Run(mutated(Text, Random));
+      Run(mutate(Text, Random));
   }
   BOOST_TEST(true);
 }
--- a/src/app/tests/fleettest.cpp
+++ b/src/app/tests/fleettest.cpp
@@ -143,7 +143,7 @@
         Done.signal();
     });
   BOOST_REQUIRE(Done.waitUntil(Cluster::deadline()));
-  BOOST_TEST(Fleet.Platform_.ledger().MostByTeam_["caterers"] == 10);
+  BOOST_TEST(Fleet.Platform_.ledger().PeakRunningByTeam_["caterers"] == 10);
 }
 
 // The store is restored from a backup made before a key was withdrawn. The
--- a/src/cell/workertable.h
+++ b/src/cell/workertable.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "cell/celltypes.h"
-#include "framework/clock/answertime.h"
+#include "framework/clock/adaptivetimeout.h"
 #include "framework/clock/steadyclock.h"
 #include "framework/fibers/waiter.h"
 #include "scheduling/pacer.h"
@@ -90,7 +90,8 @@
   /// Score of the runs that failed or hung on this worker; decays over time.
   double FailureScore_ = 0;
   framework::fibers::WaiterPtr Wake_;
-  framework::clock::AnswerTime Answers_{MinAnswerTimeout, MaxAnswerTimeout};
+  framework::clock::AdaptiveTimeout Answers_{MinAnswerTimeout,
+                                             MaxAnswerTimeout};
 
   /// Estimates the worker's clock at \p Now from its last known reading.
   std::int64_t clockMs(TimePoint Now) const {
@@ -104,9 +105,9 @@
   /// ignored.
   void recordAnswer(OrderResult Result, TimePoint Expected, TimePoint Now) {
     if (Result == OrderResult::Unknown)
-      Answers_.missed();
+      Answers_.recordTimeout();
     else if (Now >= Expected)
-      Answers_.answered(Now - Expected);
+      Answers_.recordResponse(Now - Expected);
   }
 
   /// Records a reading of the worker's clock, in milliseconds.
--- a/src/entry/internal/forwarder.cpp
+++ b/src/entry/internal/forwarder.cpp
@@ -31,7 +31,7 @@
   while (!Conns.empty()) {
     ConnectionPtr Conn = std::move(Conns.back());
     Conns.pop_back();
-    if (Conn->provenAt() >= MinProvenAt && !Conn->stale())
+    if (Conn->lastReceivedAt() >= MinProvenAt && !Conn->stale())
       return Conn;
   }
   return nullptr;
--- a/src/entry/internal/requestrunner.cpp
+++ b/src/entry/internal/requestrunner.cpp
@@ -337,7 +337,7 @@
 
 void RequestRunner::deliverStream(ActiveRequest &Active,
                                   const ForwardResult &Result) {
-  const auto Length = Result.Connection_->answerLength();
+  const auto Length = Result.Connection_->contentLength();
   const std::uint64_t Limit = State_.Settings_.AnswerBytes_;
   if (Length && *Length > Limit)
     return refuse(Active.Call_,
@@ -381,7 +381,7 @@
     budgetOf(Request.Pool_).requestStarted();
     if (!Active.Body_.Rest_) {
       // Cleared below: the exchange may outlive the request and its token.
-      Call.onCallerGone([&Active] { Active.Cancel_.cancel(); });
+      Call.onCallerDisconnected([&Active] { Active.Cancel_.cancel(); });
     }
     while (!Active.Finished_) {
       Problem Refusal;
@@ -393,7 +393,7 @@
         fail(Active, Refusal);
     }
   }
-  Call.onCallerGone(nullptr);
+  Call.onCallerDisconnected(nullptr);
   if (Registration)
     CancelTokens_.erase(*Registration);
   --InFlight_;
--- a/src/framework/fibers/asioscheduler.cpp
+++ b/src/framework/fibers/asioscheduler.cpp
@@ -9,7 +9,8 @@
 using TimePoint = std::chrono::steady_clock::time_point;
 
 AsioScheduler::AsioScheduler(boost::asio::io_context &Io)
-    : Io_(Io), Work_(Io.get_executor()), Wake_(Io), WakeAt_(TimePoint::max()) {}
+    : Io_(Io), WorkGuard_(Io.get_executor()), WakeTimer_(Io),
+      WakeAt_(TimePoint::max()) {}
 
 void AsioScheduler::awakened(boost::fibers::context *Fiber) noexcept {
   Fiber->ready_link(Ready_);
@@ -20,8 +21,8 @@
     return nullptr;
   boost::fibers::context *Next = &Ready_.front();
   Ready_.pop_front();
-  // The dispatcher comes round once for each turn of the ready queue. Without
-  // this poll, fibers that wake each other for ever would starve all input.
+  // The dispatcher fiber runs once per round of the ready queue. Without this
+  // poll, fibers that keep waking each other would starve all I/O.
   if (Next->is_context(boost::fibers::type::dispatcher_context))
     Io_.poll();
   return Next;
@@ -34,10 +35,10 @@
 void AsioScheduler::suspend_until(const TimePoint &Until) noexcept {
   if (Until != WakeAt_) {
     WakeAt_ = Until;
-    // Setting the expiry cancels the wait before it.
-    Wake_.expires_at(Until);
+    // Setting a new expiry cancels the previous wait.
+    WakeTimer_.expires_at(Until);
     if (Until != TimePoint::max())
-      Wake_.async_wait([this](const boost::system::error_code &Error) {
+      WakeTimer_.async_wait([this](const boost::system::error_code &Error) {
         if (!Error)
           WakeAt_ = TimePoint::max();
       });
--- a/src/framework/log/log.cpp
+++ b/src/framework/log/log.cpp
@@ -1,7 +1,7 @@
 #include "framework/log/log.h"
 
 #include "framework/clock/steadyclock.h"
-#include "framework/log/linebudget.h"
+#include "framework/log/logratelimiter.h"
 #include "framework/log/outputbuffer.h"
 
 #include <unistd.h>
@@ -22,13 +22,13 @@
   return Out;
 }
 
-LineBudget &budget() {
-  static LineBudget Budget;
-  return Budget;
+LogRateLimiter &rateLimiter() {
+  static LogRateLimiter Limiter;
+  return Limiter;
 }
 
-/// Takes formatted lines from the logging library.
-class ToOutput : public el::LogDispatchCallback {
+/// Writes lines formatted by Easylogging++ to the output buffer.
+class OutputBufferCallback : public el::LogDispatchCallback {
 protected:
   void handle(const el::LogDispatchData *Data) override {
     const el::LogMessage *Message = Data->logMessage();
@@ -37,7 +37,7 @@
 };
 
 Format LineFormat = Format::KeyValue;
-Level Lowest = Level::Info;
+Level CurrentLevel = Level::Info;
 
 std::string_view nameOf(Level Severity) {
   switch (Severity) {
@@ -53,7 +53,8 @@
   return "error";
 }
 
-/// Quotes and escapes, so that a value can neither end its field nor its line.
+/// Quotes and escapes \p Text as a JSON string, so that a value cannot break
+/// out of its field or line.
 std::string quoted(std::string_view Text) {
   return boost::json::serialize(
       boost::json::value(boost::json::string_view(Text.data(), Text.size())));
@@ -84,34 +85,35 @@
 
 } // namespace
 
-void configure(Format Chosen, Level LowestLevel) {
-  LineFormat = Chosen;
-  Lowest = LowestLevel;
+void configure(Format NewFormat, Level MinimumLevel) {
+  LineFormat = NewFormat;
+  CurrentLevel = MinimumLevel;
   el::Configurations Settings;
   Settings.setToDefault();
   Settings.setGlobally(el::ConfigurationType::ToFile, "false");
   Settings.setGlobally(el::ConfigurationType::ToStandardOutput, "true");
   Settings.setGlobally(
       el::ConfigurationType::Format,
-      Chosen == Format::Json
+      NewFormat == Format::Json
           ? "{\"time\":\"%datetime{%Y-%M-%dT%H:%m:%s.%g}\",%msg}"
           : "time=%datetime{%Y-%M-%dT%H:%m:%s.%g} %msg");
   el::Loggers::reconfigureAllLoggers(Settings);
   el::Helpers::uninstallLogDispatchCallback<
       el::base::DefaultLogDispatchCallback>("DefaultLogDispatchCallback");
-  el::Helpers::installLogDispatchCallback<ToOutput>("ToOutput");
+  el::Helpers::installLogDispatchCallback<OutputBufferCallback>("ToOutput");
 }
 
 void flush() {
-  const std::uint64_t LeftOut = budget().takeLeftOut() + output().takeDropped();
+  const std::uint64_t LeftOut =
+      rateLimiter().takeSuppressed() + output().takeDropped();
   if (LeftOut > 0)
     LOG(WARNING) << "level=warning event=log.lines_left_out count=" << LeftOut;
   output().flush();
 }
 
-void setLevel(Level LowestLevel) { Lowest = LowestLevel; }
+void setLevel(Level MinimumLevel) { CurrentLevel = MinimumLevel; }
 
-Level level() { return Lowest; }
+Level level() { return CurrentLevel; }
 
 absl::Status parseLevel(std::string_view Text, Level &Into) {
   for (Level Candidate :
@@ -127,9 +129,9 @@
 
 Event::Event(Level Severity, std::string_view Name)
     : Severity_(Severity),
-      Enabled_(Severity >= Lowest &&
-               budget().admit(Severity >= Level::Warning,
-                              clock::SteadyClock().now())) {
+      Enabled_(Severity >= CurrentLevel &&
+               rateLimiter().admit(Severity >= Level::Warning,
+                                   clock::SteadyClock().now())) {
   if (!Enabled_)
     return;
   if (LineFormat == Format::Json) {
--- a/standin/main.cpp
+++ b/standin/main.cpp
@@ -13,8 +13,8 @@
 #include <boost/asio/signal_set.hpp>
 #include <cxxopts.hpp>
 
-// laburnum-standin: the platform's stand-in. Reads the VMs of a declared fleet
-// and serves an endpoint for each on its declared address.
+// laburnum-standin: simulates the platform. Reads a file of declared resources
+// and serves an endpoint for each VM on its declared address.
 
 namespace {
 
@@ -22,7 +22,7 @@
 using framework::settings::FieldErrors;
 using framework::settings::JsonReader;
 
-constexpr int BadUsage = 2;
+constexpr int ExitUsageError = 2;
 
 struct DeclaredEndpoint {
   std::string Vm_;
@@ -63,7 +63,7 @@
   const auto Control = framework::http::parseAddress(Listen);
   if (!Control) {
     std::cerr << "laburnum-standin: --listen: not an ip:port\n";
-    return BadUsage;
+    return ExitUsageError;
   }
   standin::PlatformOptions Options;
   Options.Control_ = *Control;
@@ -72,7 +72,7 @@
   const auto Endpoints = readFleet(Fleet);
   if (!Endpoints.ok()) {
     std::cerr << "laburnum-standin: " << Endpoints.status().message() << '\n';
-    return BadUsage;
+    return ExitUsageError;
   }
   for (const DeclaredEndpoint &Item : *Endpoints) {
     const auto At = framework::http::parseAddress(Item.Address_);
@@ -102,27 +102,27 @@
 
 } // namespace
 
-int main(int Count, char **Words) {
+int main(int ArgumentCount, char **Arguments) {
   cxxopts::Options Options("laburnum-standin",
-                           "Stand-in of the platform, for tests only");
+                           "Simulated platform, for tests only");
   Options.add_options()(
       "listen", "control address",
       cxxopts::value<std::string>()->default_value("127.0.0.1:12379"))(
-      "fleet", "file of declared resources; its VMs are served",
+      "fleet", "file of declared resources; an endpoint is served for each VM",
       cxxopts::value<std::string>())(
-      "reboot-ms", "time of a reboot",
+      "reboot-ms", "duration of a reboot in milliseconds",
       cxxopts::value<std::int64_t>()->default_value("1500"))("help", "help");
   try {
-    const auto Given = Options.parse(Count, Words);
-    if (Given.count("help") || !Given.count("fleet")) {
+    const auto Parsed = Options.parse(ArgumentCount, Arguments);
+    if (Parsed.count("help") || !Parsed.count("fleet")) {
       std::cout << Options.help() << '\n';
-      return Given.count("help") ? 0 : BadUsage;
+      return Parsed.count("help") ? 0 : ExitUsageError;
     }
-    return serve(Given["listen"].as<std::string>(),
-                 Given["fleet"].as<std::string>(),
-                 Given["reboot-ms"].as<std::int64_t>());
+    return serve(Parsed["listen"].as<std::string>(),
+                 Parsed["fleet"].as<std::string>(),
+                 Parsed["reboot-ms"].as<std::int64_t>());
   } catch (const cxxopts::exceptions::exception &Error) {
     std::cerr << "laburnum-standin: " << Error.what() << '\n';
-    return BadUsage;
+    return ExitUsageError;
   }
 }
