--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -233,7 +233,8 @@
       const jobs::FencingToken Token = Leadership_.token();
       Fenced.Compares_.front() = headRevisionIs(Token);
       const TimePoint SentAt = SteadyClock().now();
-      const auto Written = Store_.commit(Fenced, wallDeadline(Answers_.timeout()));
+      const auto Written =
+          Store_.commit(Fenced, wallDeadline(Answers_.timeout()));
       if (Written.ok())
         Answers_.recordResponse(SteadyClock().now() - SentAt);
       if (Written.ok() && Written->Succeeded_) {
